--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -165,7 +165,7 @@
         if !customer.services.is_empty() && !customer.services.contains(&service.name) {
             return Err(Kind::Unauthorized.into());
         }
-        let print = Print::new(&customer.name, submission.fingerprint);
+        let print = RequestFingerprint::new(&customer.name, submission.fingerprint);
         if self.is_guilty(print) {
             return Err(Kind::Quarantined.into());
         }
@@ -296,7 +296,7 @@
             .ok_or(Kind::UnknownService)?;
         let customer = match config.customers.get(customer) {
             Some(customer) => customer.clone(),
-            None if route.public => Arc::new(config::Customer::anyone()),
+            None if route.public => Arc::new(config::Customer::anonymous()),
             None => return Err(Kind::Unauthorized),
         };
         let total: u32 = route.shares.iter().map(|share| share.weight).sum();
@@ -358,7 +358,7 @@
         submission: event::Submission,
         customer: Arc<config::Customer>,
         service: Arc<config::Service>,
-        print: Print,
+        print: RequestFingerprint,
     ) -> Result<Request, Kind> {
         let cursor = match &submission.cursor {
             None => None,
--- a/crates/core/src/absence.rs
+++ b/crates/core/src/availability.rs
@@ -16,7 +16,7 @@
 
 /// Time after the store's return up to which upstreams whose entries went in between are believed to live, in
 /// milliseconds; they enter themselves again within about two seconds.
-pub const BELIEVED_MS: u64 = 2_000;
+pub const GRACE_MS: u64 = 2_000;
 
 /// The longest time without an absence that is told, in milliseconds: more than any instance is refused for before others are
 /// asked, and few bytes.
@@ -24,7 +24,7 @@
 
 /// What the calls of an instance showed of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Absence {
+pub struct Availability {
     /// When a call was answered last; `None` before the first time.
     answered: Option<Time>,
     /// The last span in which the store was away for so long that entries may have gone.
@@ -71,7 +71,7 @@
     }
 }
 
-impl Absence {
+impl Availability {
     /// What is believed before the first call, where upstreams write their entries so often.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
@@ -94,7 +94,7 @@
 
     /// Notes an answer; for how long the store was away, in milliseconds, if this ends an absence in which entries
     /// may have gone.
-    pub fn answer(&mut self, now: Time) -> Option<u64> {
+    pub fn record_success(&mut self, now: Time) -> Option<u64> {
         let short = |answered: Time| now.since(answered) < self.lapse_ms();
         // Upstreams miss a write in a shorter absence too: behind its end they have to enter themselves.
         let missed = self
@@ -135,7 +135,7 @@
 
     /// Notes the era that an answer tells; whether the store has come back from a copy since the answer before. What its owners
     /// wrote since the copy may be missing, as behind an absence in which entries may have gone.
-    pub fn show(&mut self, era: u64, now: Time) -> bool {
+    pub fn observe_era(&mut self, era: u64, now: Time) -> bool {
         if era <= self.era {
             return false;
         }
@@ -153,7 +153,7 @@
     }
 
     /// For how long up to its last answer the store has not been away, in milliseconds.
-    pub fn steady_ms(&self) -> u64 {
+    pub fn uptime_ms(&self) -> u64 {
         let steady = self.answered.zip(self.steady);
         steady.map_or(0, |(answered, steady)| {
             answered.since(steady).min(STEADY_MOST_MS)
@@ -162,7 +162,7 @@
 
     /// The part of a span without the store in which entries may have gone, as the store is known to have been there in another
     /// span; `None` if there is none. Behind its end they are entered again.
-    pub(crate) fn without(&self, away: Span, steady: Span) -> Option<Span> {
+    pub(crate) fn exclude_uptime(&self, away: Span, steady: Span) -> Option<Span> {
         if away.to.since(steady.to) >= self.lapse_ms() {
             return Some(away);
         }
@@ -181,7 +181,7 @@
     /// Time by which upstreams have written their entries again behind calls that failed for a while, however short; `None` if they
     /// missed no write, as the store is known to have been there in another span. An instance that makes few calls is answered long
     /// behind the end of an absence.
-    pub(crate) fn entered_by(&self, steady: Option<Span>) -> Option<Time> {
+    pub(crate) fn reregistered_by(&self, steady: Option<Span>) -> Option<Time> {
         let missed = self.missed?;
         let lasting = steady.filter(|steady| self.is_steady(steady.to, missed.to));
         let back = lasting.map_or(missed.to, |steady| steady.from.min(missed.to));
@@ -191,7 +191,7 @@
     /// Notes that the store has just answered another instance: no entry goes for want of it while it answers any. A
     /// call that a silent connection lost was else taken for an absence, and an upstream that had gone was believed
     /// for two seconds more.
-    pub fn witness(&mut self, now: Time) {
+    pub fn record_peer_success(&mut self, now: Time) {
         let quiet = self.quiet_until(now);
         if let Some(quiet) = quiet.filter(|quiet| self.may_lapse(*quiet)) {
             self.quiet = Some(quiet);
@@ -210,37 +210,37 @@
     }
 
     /// When the store answered last.
-    pub fn answered(&self) -> Option<Time> {
+    pub fn last_answer(&self) -> Option<Time> {
         self.answered
     }
 
     /// When the store was last found not to answer; `None` if it never was.
-    pub fn unanswered(&self) -> Option<Time> {
+    pub fn last_unanswered(&self) -> Option<Time> {
         self.unanswered
     }
 
     /// The last span in which the store was away for so long that entries may have gone.
-    pub fn away(&self) -> Option<Span> {
+    pub fn outage(&self) -> Option<Span> {
         self.away
     }
 
     /// For how much longer an entry that is missing now is believed, in milliseconds: it may have gone while the
     /// store was away, and be entered again.
-    pub fn believed_ms(&self, now: Time) -> u64 {
-        self.away.map_or(0, |away| believed_ms(away, now))
+    pub fn grace_ms(&self, now: Time) -> u64 {
+        self.away.map_or(0, |away| grace_ms(away, now))
     }
 
     /// Notes a call that failed or was refused. `unanswered` is when the store did not answer it: now where it was refused, and where
     /// its time ran out when that began. One that the store had taken before it answered another call shows nothing of the
     /// store since: entries that had gone would be believed as behind a second absence, and leaving upstreams get work meanwhile.
-    pub fn fail(&mut self, unanswered: Time, now: Time) {
+    pub fn record_failure(&mut self, unanswered: Time, now: Time) {
         if self.answered.is_none_or(|answered| answered < unanswered) {
             self.failed.get_or_insert(now);
             self.failures += 1;
             self.unanswered = self.unanswered.max(Some(unanswered));
         }
         // A call that was out in a span without answers may be noticed only behind it.
-        let just = |quiet: &Span| now.since(quiet.to) <= line::PATIENCE_MS;
+        let just = |quiet: &Span| now.since(quiet.to) <= store_calls::TIMEOUT_MS;
         if let Some(quiet) = self.quiet.filter(just)
             && self.away.is_none_or(|away| away.to < quiet.from)
         {
@@ -250,29 +250,29 @@
 
     /// Whether the store may have been away for all, and not only for an instance that tells of it: no answer here
     /// says that it served others meanwhile.
-    pub fn shares(&self, away: Span, now: Time) -> bool {
+    pub fn is_shared_outage(&self, away: Span, now: Time) -> bool {
         let Some(quiet) = self.quiet_until(now) else {
             return true;
         };
-        let shared = |quiet: Span| self.is_same(quiet, away);
+        let shared = |quiet: Span| self.overlaps_outage(quiet, away);
         shared(quiet) || self.quiet.is_some_and(shared)
     }
 
     /// Whether two spans without the store have so much in common that entries may have gone in it.
-    pub(crate) fn is_same(&self, one: Span, other: Span) -> bool {
+    pub(crate) fn overlaps_outage(&self, one: Span, other: Span) -> bool {
         one.shared_ms(other) >= self.lapse_ms()
     }
 
     /// When a call was answered first behind one that failed. A silent store never answers a call that it took
     /// before, however long this may wait.
-    pub fn recovered(&self) -> Option<Time> {
+    pub fn recovered_at(&self) -> Option<Time> {
         self.recovered
     }
 
     /// The span of an absence that ends now with one that ended so shortly before that upstreams may have written
     /// nothing in between, if entries may have gone in both together.
     fn merged(&mut self, failed: Time, now: Time) -> Option<Span> {
-        if now.since(failed) < line::PATIENCE_MS {
+        if now.since(failed) < store_calls::TIMEOUT_MS {
             // A call of the absence before was noticed late.
             return None;
         }
@@ -323,6 +323,6 @@
 }
 
 /// For how much longer entries that went in an absence of the store are believed, in milliseconds.
-pub fn believed_ms(away: Span, now: Time) -> u64 {
-    away.to.after(BELIEVED_MS).since(now)
+pub fn grace_ms(away: Span, now: Time) -> u64 {
+    away.to.after(GRACE_MS).since(now)
 }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -19,7 +19,7 @@
 const LEASE_BASE: u64 = 0x7765_6c6c_0000_0000;
 
 /// Bytes of one encoded claim.
-pub const ENCODED: usize = 32;
+pub const CLAIM_BYTES: usize = 32;
 
 /// A claim of an idempotency key by one request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -36,7 +36,7 @@
 
 /// Where a claim is kept.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct BucketId {
     /// Bucket within the slice, below [`BUCKETS`].
     pub bucket: u64,
     /// Slice of time: the key's time divided by [`SLICE_MS`].
@@ -65,7 +65,7 @@
 
     /// Reads a bucket's value; `None` if it is not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (records, rest) = bytes.as_chunks::<ENCODED>();
+        let (records, rest) = bytes.as_chunks::<CLAIM_BYTES>();
         if !rest.is_empty() {
             return None;
         }
@@ -91,9 +91,9 @@
         self.claims.len()
     }
 
-    /// The value that holds these claims; [`ENCODED`] bytes each.
+    /// The value that holds these claims; [`CLAIM_BYTES`] bytes each.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(self.claims.len() * ENCODED);
+        let mut bytes = Vec::with_capacity(self.claims.len() * CLAIM_BYTES);
         for (key, (fingerprint, nonce)) in &self.claims {
             bytes.extend_from_slice(&key.to_le_bytes());
             bytes.extend_from_slice(&fingerprint.to_le_bytes());
@@ -125,7 +125,7 @@
             nonce,
             stamp,
         };
-        claim.in_time(now, settings).then_some(claim)
+        claim.is_current(now, settings).then_some(claim)
     }
 
     /// The claim of one continuation of a non-repeatable generation: only one instance may start
@@ -144,21 +144,21 @@
     }
 
     /// Whether the key is neither too old nor from the future.
-    pub fn in_time(&self, now: Time, settings: &Settings) -> bool {
+    pub fn is_current(&self, now: Time, settings: &Settings) -> bool {
         self.stamp <= now.after(settings.key_lead_max_ms)
             && now.since(self.stamp) <= settings.key_age_max_ms
     }
 
     /// Where it is kept.
-    pub fn place(&self) -> Place {
-        Place {
+    pub fn place(&self) -> BucketId {
+        BucketId {
             bucket: self.key as u64 % BUCKETS,
             slice: self.stamp.0 / SLICE_MS,
         }
     }
 }
 
-impl Place {
+impl BucketId {
     /// Number of the lease that the place's entry ends with.
     pub fn lease(&self) -> u64 {
         LEASE_BASE + self.slice * SLICE_MS / LEASE_MS
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -156,7 +156,7 @@
 
 impl Customer {
     /// Whoever calls without a key, where a route needs none.
-    pub fn anyone() -> Self {
+    pub fn anonymous() -> Self {
         Self {
             max_running: u32::MAX,
             name: String::new(),
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -155,7 +155,7 @@
                 position,
                 reason,
             } => self.finished(attempt, position, reason),
-            Event::Instances(view) => self.see_members(view),
+            Event::Instances(view) => self.update_members(view),
             Event::Leaving(name) => self.hint_leaving(&name),
             Event::List { asked, listed } => self.list(asked, listed.as_deref()),
             Event::Limited { life, rate } => self.limit_told(life, rate),
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -339,7 +339,7 @@
         let millis = f64::from(ended.millis);
         for key in &pool.upstreams {
             let upstream = &mut self.upstreams[*key];
-            if upstream.life.number() == ended.upstream {
+            if upstream.life.hash_u64() == ended.upstream {
                 let step = (millis - upstream.takes_ms) * UPSTREAM_GAIN;
                 upstream.takes_ms = if upstream.takes_ms > 0.0 {
                     upstream.takes_ms + step
@@ -470,7 +470,7 @@
         let running = self.under_way(name);
         let (instances, now) = (self.instances, self.now);
         let upstream = self.upstreams.get(attempt.upstream);
-        let upstream = upstream.map_or(0, |upstream| upstream.life.number());
+        let upstream = upstream.map_or(0, |upstream| upstream.life.hash_u64());
         let Some(pool) = self.pools.get(name) else {
             return;
         };
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -108,7 +108,7 @@
     fn claim_holds(&self, key: request::Key, claim: &Claim) -> bool {
         let request = &self.requests[key];
         if !request.may_have_run {
-            return claim.in_time(self.now, &self.settings);
+            return claim.is_current(self.now, &self.settings);
         }
         self.now.since(request.claim_asked) <= self.settings.key_age_max_ms
     }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -139,7 +139,7 @@
     /// Tokens delivered, or position of the last event that the caller has.
     pub position: u32,
     /// What tells that it is one of several tries of its caller.
-    pub print: Print,
+    pub print: RequestFingerprint,
     /// Name of the run at upstreams, for relayed requests.
     pub run: Option<Arc<str>>,
     /// Service.
@@ -179,7 +179,7 @@
         /// Where it listens.
         address: SocketAddr,
         /// The upstream.
-        life: Life,
+        life: Incarnation,
     },
     /// Log that a request which was refused is not any more, and have it forgotten where it is kept: another one explains the
     /// ends, or they lapsed.
@@ -187,7 +187,7 @@
         /// Whether this instance saw one of the ends itself, and so had the request kept.
         own: bool,
         /// The request.
-        print: Print,
+        print: RequestFingerprint,
     },
     /// Hold ready what is known of unplanned ends of upstreams, which has changed.
     Keep(Account),
@@ -198,7 +198,7 @@
         /// Whether this instance saw one of them itself.
         own: bool,
         /// The request.
-        print: Print,
+        print: RequestFingerprint,
     },
     /// Tell other instances of unplanned ends of upstreams.
     Tell(Account),
@@ -221,7 +221,7 @@
         upstream: Arc<str>,
     },
     /// Tell other instances that an upstream was lost.
-    Blame(Life),
+    Blame(Incarnation),
     /// Stop an attempt and tell the engine, if it is a stream.
     Cancel {
         /// Where the upstream listens.
@@ -285,14 +285,14 @@
     /// Tell other instances that an upstream is leaving.
     Leaving {
         /// Its life.
-        life: Life,
+        life: Incarnation,
         /// Its name.
         upstream: Arc<str>,
     },
     /// Tell other instances what an upstream takes from all of them together.
     Limit {
         /// Its life.
-        life: Life,
+        life: Incarnation,
         /// The limit; `None` if it names none any more.
         rate: Option<limit::Rate>,
     },
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -109,8 +109,8 @@
 
 impl Listed {
     /// The life that the entry speaks of.
-    pub fn life(&self) -> Life {
-        Life::new(&self.name, self.born)
+    pub fn life(&self) -> Incarnation {
+        Incarnation::new(&self.name, self.born)
     }
 }
 
@@ -125,7 +125,7 @@
         verdict: Verdict,
     },
     /// Another instance lost an upstream.
-    Blamed(Life),
+    Blamed(Incarnation),
     /// The caller's connection is closed.
     CallerGone(request::Caller),
     /// A load report came along with the tokens of a stream, and is as old as they are.
@@ -140,7 +140,7 @@
         /// Whether nobody listens at its address.
         ended: bool,
         /// The upstream.
-        life: Life,
+        life: Incarnation,
     },
     /// A claim was settled.
     Claimed {
@@ -168,7 +168,7 @@
         from: SocketAddr,
     },
     /// Another instance heard from an upstream itself that it is leaving.
-    Departing(Life),
+    Departing(Incarnation),
     /// An attempt ended without a whole answer.
     Failed {
         /// The attempt.
@@ -192,7 +192,7 @@
     /// Another instance heard the limit of an upstream.
     Limited {
         /// The upstream.
-        life: Life,
+        life: Incarnation,
         /// What it takes from all instances together; `None` if it names no limit any more.
         rate: Option<limit::Rate>,
     },
--- a/crates/core/src/informer.rs
+++ b/crates/core/src/informer.rs
@@ -10,8 +10,11 @@
 //! and tells the others what the store showed it; who is shown nothing for a while asks again on a new connection.
 
 use super::*;
-use absence::Span;
-use lesson::{Age, Answer, Call, Confirmed, Content, Heard, Input, Known, Output, Topic, Why};
+use availability::Span;
+use informer_io::{
+    Answer, Call, CancelReason, Confirmed, Consistency, Content, Input, KnownState, Output,
+    PeerReport, Topic,
+};
 
 /// Time that a watch waits for a change while another instance shows that there is none, in milliseconds: as long as
 /// the store lets it. One that says nothing any more is noticed by what other calls and other instances show.
@@ -48,16 +51,16 @@
 /// What an instance believes of the store.
 #[derive(Debug)]
 pub struct Informer {
-    absence: Absence,
+    absence: Availability,
     /// When the configuration was asked for last by one that hears from others.
     asked: Time,
-    bound: Bound,
+    bound: StalenessBound,
     /// Size of the configuration that was read last.
     bytes: usize,
     calls: BTreeMap<u64, Call>,
-    configuration: Line,
+    configuration: StoreCalls,
     /// Words that came before earlier ones.
-    early: Vec<Word>,
+    early: Vec<RosterUpdate>,
     /// Upstreams that there are.
     entries: usize,
     /// How often the store is known to have come back from a copy.
@@ -67,7 +70,7 @@
     /// When a word showed that a change was missed.
     gap: Option<Time>,
     /// The most that others know.
-    heard: Known,
+    heard: KnownState,
     /// Revision of the configuration in force.
     in_force: Option<u64>,
     /// Time in which a leaving upstream must get no more work, in milliseconds.
@@ -79,12 +82,12 @@
     role: Role,
     roster: Roster,
     /// When the store is known to have served anybody: by own calls, and by word of those that watch.
-    served: Absence,
+    served: Availability,
     /// The last span in which the store was not away for others, as they tell, in its present era.
     steady: Option<Span>,
     /// Its place among those that watch the store for themselves.
-    turn: Turn,
-    upstreams: Line,
+    rank: WatcherRank,
+    upstreams: StoreCalls,
     /// When one that watches for the data centre was heard last.
     word: Time,
 }
@@ -92,59 +95,59 @@
 impl Informer {
     /// An informer that knows nothing yet. What the store says must be known within `bound`, and a leaving upstream
     /// must get no more work within `leave_ms`.
-    pub fn new(bound: Bound, leave_ms: u64, absence: Absence, now: Time) -> Self {
+    pub fn new(bound: StalenessBound, leave_ms: u64, absence: Availability, now: Time) -> Self {
         Self {
             absence,
             asked: now,
             bound,
             bytes: 0,
             calls: BTreeMap::new(),
-            configuration: Line::default().begun(now),
+            configuration: StoreCalls::default().begun(now),
             early: Vec::new(),
             entries: 0,
             era: 0,
             fresh: now,
             gap: None,
-            heard: Known::default(),
+            heard: KnownState::default(),
             in_force: None,
             leave_ms,
             next_call: 0,
             outputs: Vec::new(),
             read: None,
-            role: Role::Alone,
+            role: Role::Independent,
             roster: Roster::default(),
             served: absence,
             steady: None,
-            turn: Turn::default(),
-            upstreams: Line::hurried().begun(now),
+            rank: WatcherRank::default(),
+            upstreams: StoreCalls::hurried().begun(now),
             word: now,
         }
     }
 
     /// What it knows.
-    pub fn known(&self) -> Known {
-        Known {
+    pub fn known_state(&self) -> KnownState {
+        KnownState {
             configuration: self.in_force,
             list: self.roster.changed,
         }
     }
 
     /// Takes in what happened, and what the ends of all calls showed of the store; what is to be done.
-    pub fn take(&mut self, input: Input, absence: Absence, now: Time) -> Vec<Output> {
+    pub fn handle(&mut self, input: Input, absence: Availability, now: Time) -> Vec<Output> {
         self.absence = absence;
         if let Some(answered) = absence
-            .answered()
-            .filter(|at| Some(*at) > self.served.answered())
+            .last_answer()
+            .filter(|at| Some(*at) > self.served.last_answer())
         {
-            self.served.answer(answered);
+            self.served.record_success(answered);
         }
         self.enter(absence.era(), now);
         match input {
             Input::Answered(id, answer) => self.answered(id, answer, now),
             Input::Failed(id) => self.failed(id, now),
-            Input::Heard(heard) => self.hear(heard, now),
-            Input::Role(role, turn) => {
-                self.turn = turn;
+            Input::PeerReport(heard) => self.hear(heard, now),
+            Input::Role(role, rank) => {
+                self.rank = rank;
                 self.change_role(role, now);
             }
             Input::Tick => {}
@@ -154,7 +157,7 @@
     }
 
     /// When it is to be called again, if nothing happens before.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_wake(&self) -> Option<Time> {
         let lines = [Topic::Configuration, Topic::Upstreams].into_iter();
         let lines = lines.filter_map(|topic| {
             let line = self.line(topic);
@@ -170,9 +173,9 @@
     /// Whether instances that watch for themselves show each other that nothing of a topic has changed.
     fn is_confirmed(&self, topic: Topic) -> bool {
         match (topic, self.role) {
-            (_, Role::Alone) | (Topic::Configuration, Role::Watcher) => true,
+            (_, Role::Independent) | (Topic::Configuration, Role::Watcher) => true,
             // One that watches the list for others waits for a fraction of the bound.
-            (Topic::Upstreams, Role::Watcher) | (_, Role::Deputy | Role::Follower) => false,
+            (Topic::Upstreams, Role::Watcher) | (_, Role::Standby | Role::Follower) => false,
         }
     }
 
@@ -182,14 +185,14 @@
         let silent = self
             .line(topic)
             .told
-            .after(self.bound.unconfirmed_ms(self.turn));
-        self.is_confirmed(topic) && (self.turn.rank == 0 || silent <= now)
+            .after(self.bound.unconfirmed_ms(self.rank));
+        self.is_confirmed(topic) && (self.rank.rank == 0 || silent <= now)
     }
 
     /// Until when what is known of a topic holds without being shown again.
     fn confirmed_until(&self, topic: Topic) -> Option<Time> {
         let line = self.line(topic);
-        let until = line.confirmed.after(self.bound.unconfirmed_ms(self.turn));
+        let until = line.confirmed.after(self.bound.unconfirmed_ms(self.rank));
         self.is_confirmed(topic).then_some(until)
     }
 
@@ -203,22 +206,22 @@
     /// When the store is to be asked of an entry that is missing, though a watch is out that waits for other changes.
     fn lapse(&self) -> Option<Time> {
         let waits = self.upstreams.out.is_some_and(|out| out.waits);
-        self.roster.next_lapse().filter(|_| waits)
+        self.roster.next_expiry().filter(|_| waits)
     }
 
     /// When one that hears from others asks of an entry that is missing, since those are silent about it.
     fn missed_lapse(&self) -> Option<Time> {
-        Some(self.roster.next_lapse()?.after(REORDER_MS))
+        Some(self.roster.next_expiry()?.after(REORDER_MS))
     }
 
-    fn line(&self, topic: Topic) -> &Line {
+    fn line(&self, topic: Topic) -> &StoreCalls {
         match topic {
             Topic::Configuration => &self.configuration,
             Topic::Upstreams => &self.upstreams,
         }
     }
 
-    fn line_mut(&mut self, topic: Topic) -> &mut Line {
+    fn line_mut(&mut self, topic: Topic) -> &mut StoreCalls {
         match topic {
             Topic::Configuration => &mut self.configuration,
             Topic::Upstreams => &mut self.upstreams,
@@ -244,19 +247,19 @@
             return;
         };
         let confirms = self.line(call.topic).out.is_some_and(|out| out.confirms);
-        self.line_mut(call.topic).answer();
+        self.line_mut(call.topic).record_success();
         match answer {
-            Answer::Forgotten => self.line_mut(call.topic).forget(now),
-            Answer::Known(_, position) if self.is_outdated(call, position) => {
+            Answer::Compacted => self.line_mut(call.topic).forget(now),
+            Answer::Complete(_, position) if self.is_outdated(call, position) => {
                 let line = self.line_mut(call.topic);
                 line.position = None;
                 line.ready = now;
                 self.outputs.push(Output::Outdated(call.topic));
             }
-            Answer::Known(Content::Configuration { bytes, config }, position) => {
+            Answer::Complete(Content::Configuration { bytes, config }, position) => {
                 self.take_configuration(call, bytes, config, position, now);
             }
-            Answer::Known(Content::Upstreams(changes), position) => {
+            Answer::Complete(Content::Upstreams(changes), position) => {
                 self.take_upstreams(call, changes, position, now);
             }
         }
@@ -268,7 +271,7 @@
             self.line_mut(topic).remember();
         }
         self.line_mut(topic).confirmed = now;
-        if confirms && self.turn.count > 1 {
+        if confirms && self.rank.count > 1 {
             self.outputs.push(Output::Confirm(Confirmed { to, topic }));
         }
     }
@@ -277,7 +280,7 @@
     /// the store's history does not have any more. Reads that may be old are ordered by what they bring.
     fn is_outdated(&self, call: Call, position: Position) -> bool {
         let behind = call.since.is_some_and(|since| since.era != position.era);
-        call.age == Age::Newest && (position.era < self.era || behind)
+        call.age == Consistency::Linearizable && (position.era < self.era || behind)
     }
 
     /// The store has come back from a copy: positions of before say nothing of what is to be asked for, calls that wait for
@@ -295,7 +298,7 @@
         self.outputs.push(Output::Era(era));
         for topic in [Topic::Configuration, Topic::Upstreams] {
             if self.line(topic).out.is_some_and(|out| out.changes) {
-                self.end(topic, Why::Returned);
+                self.end(topic, CancelReason::StoreRestored);
             }
             self.line_mut(topic).begin_again(now);
         }
@@ -328,7 +331,7 @@
                 }
                 _ => None,
             };
-        } else if call.age == Age::Newest {
+        } else if call.age == Consistency::Linearizable {
             self.configuration.position = Some(position);
         }
     }
@@ -341,8 +344,8 @@
         self.in_force = Some(config.revision);
         self.outputs.push(Output::Configuration(config));
         // A deputy may have read it since the one that watches is silent; others would hear of it a second later.
-        if matches!(self.role, Role::Deputy | Role::Watcher) {
-            self.outputs.push(Output::TellConfiguration);
+        if matches!(self.role, Role::Standby | Role::Watcher) {
+            self.outputs.push(Output::AnnounceConfiguration);
         }
     }
 
@@ -357,15 +360,15 @@
         let away = self.own_away();
         let first = self.upstreams.position.is_none();
         // Before entries go by what is taken in.
-        if let Some(until) = self.absence.entered_by(self.steady) {
-            self.roster.hold(until);
+        if let Some(until) = self.absence.reregistered_by(self.steady) {
+            self.roster.extend_grace(until);
         }
         if call.since.is_none() {
-            self.roster.take_all(&changes, position, away, now);
+            self.roster.replace_all(&changes, position, away, now);
         } else {
             // Others may have told some of them while the call was out.
             changes.retain(|change| change.position > known);
-            self.roster.take(changes, away, now);
+            self.roster.apply_changes(changes, away, now);
         }
         self.upstreams.position = Some(position.max(known));
         self.fresh = now;
@@ -374,18 +377,19 @@
         self.list(now);
         let tells = match self.role {
             Role::Watcher => true,
-            Role::Deputy => !first,
-            Role::Alone | Role::Follower => false,
+            Role::Standby => !first,
+            Role::Independent | Role::Follower => false,
         };
         if tells {
-            let words = self
-                .roster
-                .words(position.max(known), self.absence.steady_ms(), now);
-            self.outputs.extend(words.into_iter().map(Output::Tell));
+            let words =
+                self.roster
+                    .pending_updates(position.max(known), self.absence.uptime_ms(), now);
+            self.outputs
+                .extend(words.into_iter().map(Output::AnnounceRoster));
         }
         if first {
             // The others know nothing of what was just read.
-            self.roster.tell_from(position);
+            self.roster.set_announced(position);
         }
         self.upstreams.ready = now.after(self.gather_ms());
     }
@@ -394,9 +398,9 @@
     /// by this instance's own account. Two absences in series are one by that, with an answer in between.
     fn shares(&self, away: Span, now: Time) -> bool {
         let own = self.own_away();
-        let unanswered = self.absence.unanswered();
-        self.served.shares(away, now)
-            || own.is_some_and(|own| self.absence.is_same(own, away))
+        let unanswered = self.absence.last_unanswered();
+        self.served.is_shared_outage(away, now)
+            || own.is_some_and(|own| self.absence.overlaps_outage(own, away))
             || unanswered.is_some_and(|at| (away.from..away.to).contains(&at))
     }
 
@@ -404,9 +408,9 @@
     /// of it then. An instance that was refused or cut off while others were served would believe an upstream that left for two
     /// seconds more, from its own first answer on.
     fn own_away(&self) -> Option<Span> {
-        let away = self.absence.away()?;
+        let away = self.absence.outage()?;
         match self.steady {
-            Some(steady) => self.absence.without(away, steady),
+            Some(steady) => self.absence.exclude_uptime(away, steady),
             None => Some(away),
         }
     }
@@ -421,11 +425,11 @@
     }
 
     fn list(&mut self, now: Time) {
-        for name in self.roster.new_lapsing() {
-            let believed_ms = self.roster.believed_ms(now);
-            self.outputs.push(Output::Lapsing(name, believed_ms));
+        for name in self.roster.take_new_missing() {
+            let believed_ms = self.roster.grace_ms(now);
+            self.outputs.push(Output::MissingEntry(name, believed_ms));
         }
-        self.roster.give_up(now);
+        self.roster.remove_expired(now);
         let listed = self.roster.listed();
         self.entries = listed.len();
         self.outputs.push(Output::Upstreams(listed));
@@ -441,7 +445,8 @@
     fn fail(&mut self, topic: Topic, now: Time) {
         let (absence, bound) = (self.absence, self.bound);
         let urgent = topic == Topic::Configuration && self.in_force.is_none();
-        self.line_mut(topic).fail(urgent, &absence, bound, now);
+        self.line_mut(topic)
+            .record_failure(urgent, &absence, bound, now);
         match topic {
             Topic::Configuration => self.read = None,
             Topic::Upstreams => {
@@ -452,7 +457,7 @@
         }
     }
 
-    fn hear(&mut self, heard: Heard, now: Time) {
+    fn hear(&mut self, heard: PeerReport, now: Time) {
         let confirmed = heard.confirmed.map(|confirmed| confirmed.to.era);
         let word = heard.word.as_ref().map(|word| word.to.era);
         let newest = confirmed.into_iter().chain(word).max();
@@ -471,41 +476,42 @@
             return;
         }
         let away = word.away(now);
-        self.roster.away = away.is_some_and(|away| self.shares(away, now));
-        if let Some(away) = away.filter(|_| self.roster.away) {
-            self.roster.hear_return(away, self.absence.unanswered());
+        self.roster.is_store_down = away.is_some_and(|away| self.shares(away, now));
+        if let Some(away) = away.filter(|_| self.roster.is_store_down) {
+            self.roster
+                .note_peer_return(away, self.absence.last_unanswered());
         }
         let known = self.upstreams.position.unwrap_or_default();
-        match self.roster.hear(&word, known, now) {
-            Worth::Fresh => {
+        match self.roster.apply_update(&word, known, now) {
+            UpdateOutcome::Applied => {
                 if away.is_none() {
-                    self.served.answer(now);
+                    self.served.record_success(now);
                 }
                 let all = self.roster.catch_up(word.to, &mut self.early, now);
                 self.upstreams.position = Some(all);
                 // Who told it told the others too.
-                self.roster.tell_from(all);
+                self.roster.set_announced(all);
                 if self.early.is_empty() {
                     self.fresh = now;
                     self.gap = None;
                 }
                 self.list(now);
             }
-            Worth::Gap => {
+            UpdateOutcome::Gap => {
                 self.early.push(word);
                 self.gap.get_or_insert(now);
             }
-            Worth::Old => {}
+            UpdateOutcome::Stale => {}
         }
     }
 
     /// Takes in for how long the store had not been away for another instance when it answered that one.
-    fn hear_steady(&mut self, word: &Word, now: Time) {
-        if word.steady_ms == 0 || word.to.era < self.era {
+    fn hear_steady(&mut self, word: &RosterUpdate, now: Time) {
+        if word.uptime_ms == 0 || word.to.era < self.era {
             return;
         }
         let mut steady = Span {
-            from: now.before(word.steady_ms),
+            from: now.before(word.uptime_ms),
             to: now,
         };
         if let Some(before) = self.steady.filter(|before| before.to >= steady.from) {
@@ -513,12 +519,12 @@
         }
         self.steady = Some(steady);
         if self.role.follows() {
-            self.roster.doubt_absence(steady, &self.absence, now);
+            self.roster.shorten_outage(steady, &self.absence, now);
         }
     }
 
     /// Takes in what the store has just shown another instance, unless more was known here before.
-    fn hear_confirmed(&mut self, confirmed: Confirmed, heard: &Heard, now: Time) {
+    fn hear_confirmed(&mut self, confirmed: Confirmed, heard: &PeerReport, now: Time) {
         let topic = confirmed.topic;
         let (newest, same) = match topic {
             Topic::Configuration => (
@@ -548,7 +554,7 @@
         self.role = role;
         for topic in [Topic::Configuration, Topic::Upstreams] {
             if self.line(topic).out.is_some_and(|out| out.changes) {
-                self.end(topic, Why::Role);
+                self.end(topic, CancelReason::RoleChanged);
             }
         }
         if followed && !role.follows() {
@@ -564,12 +570,12 @@
     }
 
     /// Ends the call of a topic that is out.
-    fn end(&mut self, topic: Topic, why: Why) {
+    fn end(&mut self, topic: Topic, why: CancelReason) {
         let Some(out) = self.line_mut(topic).out.take() else {
             return;
         };
         if let Some(call) = self.calls.remove(&out.id) {
-            self.outputs.push(Output::Drop(call, why));
+            self.outputs.push(Output::Cancel(call, why));
         }
     }
 
@@ -577,7 +583,7 @@
     fn settle(&mut self, now: Time) {
         if self.lapse().is_some_and(|lapse| lapse <= now) {
             // What is missing is given up by what the store says, and not by the clock.
-            self.end(Topic::Upstreams, Why::Lapse);
+            self.end(Topic::Upstreams, CancelReason::EntryExpired);
             self.upstreams.answered = false;
         }
         let more = self.lacks_configuration() && !self.follows(Topic::Configuration);
@@ -585,12 +591,12 @@
         let more = Some(self.heard.list) > self.upstreams.position;
         self.upstreams.compare(more, now);
         if self.follows(Topic::Configuration) && self.lacks_configuration() && self.read.is_none() {
-            let at = self.configuration.may(&self.absence).max(now);
+            let at = self.configuration.next_call_at(&self.absence).max(now);
             self.read = Some((0, at.after(READS_MS[0])));
         }
         for topic in [Topic::Configuration, Topic::Upstreams] {
             if self.unconfirmed(topic).is_some_and(|at| at <= now) {
-                self.end(topic, Why::Unconfirmed);
+                self.end(topic, CancelReason::Unconfirmed);
                 self.line_mut(topic).answered = false;
             }
             if let Some((at, why)) = self.line(topic).hopeless(&self.absence)
@@ -598,7 +604,7 @@
             {
                 self.end(topic, why);
                 self.fail(topic, now);
-                if topic == Topic::Configuration && why == Why::Behind {
+                if topic == Topic::Configuration && why == CancelReason::PeersAhead {
                     // A read brings the newest whatever became of the watch.
                     self.configuration.position = None;
                 }
@@ -611,13 +617,16 @@
 
     /// When the next call of a topic is due, if none is out.
     fn due(&self, topic: Topic) -> Time {
-        let may = self.line(topic).may(&self.absence);
+        let may = self.line(topic).next_call_at(&self.absence);
         if !self.follows(topic) {
             return match topic {
                 Topic::Configuration => may,
                 // Changes gather no longer than entries that are missing are believed.
                 Topic::Upstreams if self.upstreams.has_failed() => may,
-                Topic::Upstreams => self.roster.next_lapse().map_or(may, |lapse| may.min(lapse)),
+                Topic::Upstreams => self
+                    .roster
+                    .next_expiry()
+                    .map_or(may, |lapse| may.min(lapse)),
             };
         }
         let silence = self.bound.silence_ms(self.role);
@@ -655,8 +664,8 @@
             Topic::Configuration | Topic::Upstreams => line.position,
         };
         // Behind a call that was not answered no change is waited for: one that a silent store takes is never answered.
-        let missing =
-            topic == Topic::Upstreams && self.roster.next_lapse().is_some_and(|lapse| lapse <= now);
+        let missing = topic == Topic::Upstreams
+            && self.roster.next_expiry().is_some_and(|lapse| lapse <= now);
         let doubtful = self
             .confirmed_until(topic)
             .is_some_and(|until| until <= now);
@@ -665,9 +674,9 @@
         let wait_ms = match (topic, self.role) {
             _ if !waits => 0,
             _ if confirms => self.confirm_wait_ms(topic),
-            (Topic::Configuration, _) | (Topic::Upstreams, Role::Alone) => WAIT_MS,
+            (Topic::Configuration, _) | (Topic::Upstreams, Role::Independent) => WAIT_MS,
             // The others are to hear at least that nothing has changed.
-            (Topic::Upstreams, Role::Deputy | Role::Follower | Role::Watcher) => {
+            (Topic::Upstreams, Role::Standby | Role::Follower | Role::Watcher) => {
                 self.bound.wait_ms()
             }
         };
@@ -675,15 +684,15 @@
             (Topic::Configuration, Some((step, _)))
                 if follows && step < READS_MS.len() && self.bytes < LARGE =>
             {
-                Age::Seconds
+                Consistency::Serializable
             }
-            _ => Age::Newest,
+            _ => Consistency::Linearizable,
         };
         let call = Call {
             age,
-            again: line.has_failed(),
+            is_retry: line.has_failed(),
             id: self.next_call,
-            patience_ms: line.patience_ms,
+            timeout_ms: line.timeout_ms,
             since,
             topic,
             wait_ms,
@@ -694,11 +703,11 @@
                 Topic::Configuration => self.asked = now,
                 Topic::Upstreams => {
                     let known = self.upstreams.position.unwrap_or_default();
-                    self.roster.tell_from(known);
+                    self.roster.set_announced(known);
                 }
             }
         }
-        let out = line::Out {
+        let out = store_calls::Out {
             began: now,
             confirms,
             id: call.id,
@@ -707,6 +716,6 @@
         };
         self.line_mut(topic).out = Some(out);
         self.calls.insert(call.id, call);
-        self.outputs.push(Output::Ask(call));
+        self.outputs.push(Output::Call(call));
     }
 }
--- a/crates/core/src/lesson.rs
+++ b/crates/core/src/informer_io.rs
@@ -13,24 +13,24 @@
 
 /// How old what a call brings may be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Age {
+pub enum Consistency {
     /// It is the newest.
-    Newest,
+    Linearizable,
     /// It may be seconds old; such a read costs a tenth.
-    Seconds,
+    Serializable,
 }
 
 /// A call of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Call {
     /// How old the answer may be.
-    pub age: Age,
+    pub age: Consistency,
     /// Whether the call before it failed.
-    pub again: bool,
+    pub is_retry: bool,
     /// Its number.
     pub id: u64,
     /// Time in which the answer must begin behind the wait, in milliseconds.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     /// Position behind which changes are asked for; `None` for all.
     pub since: Option<Position>,
     /// What is asked for.
@@ -57,9 +57,9 @@
 #[derive(Clone, Debug)]
 pub enum Answer {
     /// With all, or all changes, up to a position.
-    Known(Content, Position),
+    Complete(Content, Position),
     /// It has forgotten what changed since.
-    Forgotten,
+    Compacted,
 }
 
 /// What the store has just shown an instance to be the newest.
@@ -73,7 +73,7 @@
 
 /// What another instance let this one know.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct PeerReport {
     /// Revision of the configuration in force there.
     pub configuration: Option<u64>,
     /// What the store has just shown it, if this is told.
@@ -81,7 +81,7 @@
     /// Position of the last change of the list that is known there.
     pub list: Position,
     /// Changes that one that watches for the data centre tells.
-    pub word: Option<Word>,
+    pub word: Option<RosterUpdate>,
 }
 
 /// What happens to an informer.
@@ -92,26 +92,26 @@
     /// A call failed or was refused.
     Failed(u64),
     /// Another instance let this one know something.
-    Heard(Heard),
+    PeerReport(PeerReport),
     /// What it does for its data centre, and its place among those that watch the store.
-    Role(Role, Turn),
+    Role(Role, WatcherRank),
     /// Time has passed, or another call of the store has ended.
     Tick,
 }
 
 /// Why a call is ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Why {
+pub enum CancelReason {
     /// Other instances know more.
-    Behind,
+    PeersAhead,
     /// It waits for a change, and an entry has been missing for long enough.
-    Lapse,
+    EntryExpired,
     /// The store answers other calls again, and not this one.
-    Overtaken,
+    Stalled,
     /// The store has come back from a copy.
-    Returned,
+    StoreRestored,
     /// The instance does something else for its data centre.
-    Role,
+    RoleChanged,
     /// Nobody has shown for too long that nothing has changed.
     Unconfirmed,
 }
@@ -120,30 +120,30 @@
 #[derive(Clone, Debug)]
 pub enum Output {
     /// A call is to be made.
-    Ask(Call),
+    Call(Call),
     /// A configuration is in force.
     Configuration(Arc<Config>),
     /// The other instances that watch are to be told what the store has just shown.
     Confirm(Confirmed),
     /// A call is to be ended; nothing it brings counts.
-    Drop(Call, Why),
+    Cancel(Call, CancelReason),
     /// The store has come back from a copy: its era is this one now.
     Era(u64),
     /// What an answer brought is of an earlier era of the store, and was dropped.
     Outdated(Topic),
     /// An upstream whose entry is missing is believed for so many milliseconds, since the store was away.
-    Lapsing(String, u64),
+    MissingEntry(String, u64),
     /// The others of the data centre are to be told changes of the list.
-    Tell(Word),
+    AnnounceRoster(RosterUpdate),
     /// They are to be told that another configuration is in force.
-    TellConfiguration,
+    AnnounceConfiguration,
     /// The upstreams as they are believed now.
     Upstreams(Vec<Listed>),
 }
 
 /// What an instance knows of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Known {
+pub struct KnownState {
     /// Revision of the configuration in force; `None` before there is one.
     pub configuration: Option<u64>,
     /// Position of the last change of the list of upstreams.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,9 +4,8 @@
 //! and answers with a list of [`effect::Effect`]. It reads no clock, opens no socket and starts no
 //! thread, so the same settings, seed and events always give the same effects.
 
-pub mod absence;
 pub mod attempt;
-pub mod bound;
+pub mod availability;
 pub mod budget;
 pub mod claim;
 pub mod clock;
@@ -19,18 +18,17 @@
 pub mod digest;
 pub mod effect;
 pub mod event;
+pub mod fingerprint;
 pub mod gauge;
+pub mod incarnation;
 pub mod informer;
+pub mod informer_io;
 pub mod invariant;
 pub mod kind;
-pub mod lesson;
-pub mod life;
 pub mod limit;
-pub mod line;
 pub mod members;
 pub mod notice;
 pub mod position;
-pub mod print;
 pub mod quarantine;
 pub mod queue;
 pub mod request;
@@ -38,6 +36,8 @@
 pub mod roster;
 pub mod settings;
 pub mod sighting;
+pub mod staleness;
+pub mod store_calls;
 pub mod upstream;
 
 mod admission;
@@ -57,9 +57,8 @@
 
 use {
     crate::core::{Core, Early},
-    absence::{Absence, Span},
     attempt::Attempt,
-    bound::Bound,
+    availability::{Availability, Span},
     budget::Budget,
     claim::Claim,
     clock::Time,
@@ -71,27 +70,27 @@
     digest::Digest,
     effect::Effect,
     event::{Event, Failure, Listed, Piece},
+    fingerprint::RequestFingerprint,
     gauge::{Gauge, Pace},
+    incarnation::Incarnation,
+    informer_io::CancelReason,
     invariant::Invariant,
     kind::Kind,
-    lesson::Why,
-    life::Life,
     limit::Limit,
-    line::Line,
     members::{Members, View},
     notice::Notice,
     position::Position,
-    print::Print,
     quarantine::Account,
     queue::Queue,
     rand::{RngExt, SeedableRng, seq::SliceRandom},
     rand_pcg::Pcg64Mcg,
     request::{Request, State, Work},
-    role::{Role, Turn},
-    roster::{Change, Roster, Word, Worth},
+    role::{Role, WatcherRank},
+    roster::{Change, Roster, RosterUpdate, UpdateOutcome},
     settings::{Guilt, Resume, Routing, Settings},
     sighting::Sighting,
     slotmap::{SecondaryMap, SlotMap, new_key_type},
+    staleness::StalenessBound,
     std::{
         collections::{BTreeMap, BTreeSet, HashMap, VecDeque},
         fmt::{self, Display, Formatter},
@@ -99,6 +98,7 @@
         ops::RangeInclusive,
         sync::Arc,
     },
+    store_calls::StoreCalls,
     suspicion::Suspicion,
     upstream::{Health, Load, Upstream},
     usage::{Own, Usage},
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -210,7 +210,7 @@
     }
 
     /// Another instance heard a limit from an upstream, or that it names none any more.
-    pub(crate) fn limit_told(&mut self, life: Life, rate: Option<Rate>) {
+    pub(crate) fn limit_told(&mut self, life: Incarnation, rate: Option<Rate>) {
         let Some(key) = self.lives.get(&life).copied() else {
             return;
         };
@@ -243,9 +243,9 @@
 
     /// Reckons anew what this instance has of a limit.
     pub(crate) fn divide(&mut self, key: upstream::Key, rate: Rate) {
-        let topic = self.upstreams[key].life.number();
+        let topic = self.upstreams[key].life.hash_u64();
         let holders = self.settings.limits.holders(rate, self.instances);
-        let from = self.members.acts_from(holders, topic);
+        let from = self.members.active_from(holders, topic);
         let now = self.now;
         if let Some(part) = &mut self.upstreams[key].part {
             part.divide(rate, holders, from, now);
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -17,7 +17,7 @@
     /// The number of this one.
     pub own: u64,
     /// Time within which all instances hear of a change, in milliseconds.
-    pub settles_ms: u64,
+    pub convergence_ms: u64,
 }
 
 /// The views of late, the newest last.
@@ -32,7 +32,7 @@
         Self {
             others: (0..instances).filter(|other| *other != own).collect(),
             own,
-            settles_ms: 0,
+            convergence_ms: 0,
         }
     }
 
@@ -60,19 +60,19 @@
 
     /// From when on this instance may act as one of the first `few` for a topic; `None` if it is not among them. One that
     /// knows of no fleet acts alone.
-    pub fn acts_from(&self, few: usize, topic: u64) -> Option<Time> {
+    pub fn active_from(&self, few: usize, topic: u64) -> Option<Time> {
         let Some((_, newest)) = self.seen.back() else {
             return Some(Time::default());
         };
         let among = |(_, view): &&(Time, View)| view.is_among(few, topic);
         let (since, _) = self.seen.iter().rev().take_while(among).last()?;
-        Some(since.after(newest.settles_ms))
+        Some(since.after(newest.convergence_ms))
     }
 }
 
 impl Core {
     /// The fleet is known to be another one.
-    pub(crate) fn see_members(&mut self, view: View) {
+    pub(crate) fn update_members(&mut self, view: View) {
         self.instances = view.count();
         self.members.see(view, self.now);
         let limited = |(key, upstream): (upstream::Key, &Upstream)| {
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -60,7 +60,7 @@
 
 /// What upstreams said that are listed no more.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Standings(BTreeMap<(Life, SocketAddr), Kept>);
+pub(crate) struct Standings(BTreeMap<(Incarnation, SocketAddr), Kept>);
 
 #[derive(Clone, Copy, Debug)]
 struct Kept {
@@ -116,7 +116,7 @@
     }
 
     /// What a life said at an address before its entry was gone.
-    pub fn take(&mut self, life: Life, address: SocketAddr) -> Standing {
+    pub fn take(&mut self, life: Incarnation, address: SocketAddr) -> Standing {
         let kept = self.0.remove(&(life, address));
         kept.map_or_else(Standing::default, |kept| kept.standing)
     }
@@ -171,7 +171,7 @@
 
     /// Another instance heard from an upstream that it is leaving. It may be late, so it holds for a while only; the upstream's
     /// own word is not in this instance's hands.
-    pub(crate) fn departing(&mut self, life: Life) {
+    pub(crate) fn departing(&mut self, life: Incarnation) {
         let Some(key) = self.lives.get(&life).copied() else {
             return;
         };
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -42,18 +42,24 @@
     /// When the first instance saw it.
     pub at: Time,
     /// The requests that ran or waited there.
-    pub there: BTreeMap<Print, Part>,
+    pub there: BTreeMap<RequestFingerprint, Part>,
 }
 
 /// Unplanned ends of upstreams.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Account {
-    ends: BTreeMap<Life, End>,
+    ends: BTreeMap<Incarnation, End>,
 }
 
 impl Account {
     /// Notes that a request was at an upstream that ended; whether that is news.
-    pub fn add(&mut self, life: Life, print: Print, part: Part, at: Time) -> bool {
+    pub fn add(
+        &mut self,
+        life: Incarnation,
+        print: RequestFingerprint,
+        part: Part,
+        at: Time,
+    ) -> bool {
         let end = self.ends.entry(life).or_insert_with(|| End {
             at,
             there: BTreeMap::new(),
@@ -72,7 +78,7 @@
 
     /// Clears a request of all ends so far; what is to be told of it.
     #[must_use]
-    pub fn clear(&mut self, print: Print) -> Self {
+    pub fn clear(&mut self, print: RequestFingerprint) -> Self {
         let mut cleared = Self::default();
         for (life, end) in &mut self.ends {
             if let Some(part) = end.there.get_mut(&print)
@@ -86,7 +92,7 @@
     }
 
     /// The ends at which a request was, of which it was not cleared.
-    pub fn lives(&self, print: Print) -> impl Iterator<Item = Life> {
+    pub fn lives(&self, print: RequestFingerprint) -> impl Iterator<Item = Incarnation> {
         let there = move |end: &End| {
             end.there
                 .get(&print)
@@ -98,12 +104,12 @@
     }
 
     /// Ends in the order of their lives.
-    pub fn ends(&self) -> impl Iterator<Item = (Life, &End)> {
+    pub fn ends(&self) -> impl Iterator<Item = (Incarnation, &End)> {
         self.ends.iter().map(|(life, end)| (*life, end))
     }
 
     /// Whether the end of a life is known.
-    pub fn has(&self, life: Life) -> bool {
+    pub fn has(&self, life: Incarnation) -> bool {
         self.ends.contains_key(&life)
     }
 
@@ -121,7 +127,7 @@
     pub fn digest(&self) -> u64 {
         let parts = self.ends.iter().flat_map(|(life, end)| {
             let there = end.there.iter();
-            there.map(|(print, part)| mix(life.number() ^ mix(print.0 ^ (*part as u64 + 1))))
+            there.map(|(print, part)| mix(life.hash_u64() ^ mix(print.0 ^ (*part as u64 + 1))))
         });
         parts.fold(0, |digest, part| digest ^ part)
     }
@@ -142,7 +148,7 @@
 
     /// The part of it that one request is guilty by.
     #[must_use]
-    pub fn of(&self, print: Print) -> Self {
+    pub fn of(&self, print: RequestFingerprint) -> Self {
         let mut part = Self::default();
         for life in self.lives(print) {
             let end = &self.ends[&life];
@@ -164,8 +170,8 @@
         }
         let guilty = self.guilty(rule);
         let condemns = |end: &End| end.there.keys().any(|print| guilty.contains_key(print));
-        let order = |(life, end): (&Life, &End)| (condemns(end), end.at, *life);
-        let mut ends: Vec<(bool, Time, Life)> = self.ends.iter().map(order).collect();
+        let order = |(life, end): (&Incarnation, &End)| (condemns(end), end.at, *life);
+        let mut ends: Vec<(bool, Time, Incarnation)> = self.ends.iter().map(order).collect();
         ends.sort_unstable();
         for (_, _, life) in &ends[..ends.len() - KEPT] {
             self.ends.remove(life);
@@ -173,7 +179,7 @@
     }
 
     /// The guilty requests, each with the ends that it is guilty by.
-    pub fn guilty(&self, rule: Guilt) -> BTreeMap<Print, BTreeSet<Life>> {
+    pub fn guilty(&self, rule: Guilt) -> BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> {
         match rule {
             Guilt::Explained => self.unexplained(),
             Guilt::Lives => self.often(),
@@ -183,9 +189,9 @@
 
     /// Who is guilty by ends in the order in which they came. The end of a request that is guilty by then, or becomes so, counts for
     /// no other.
-    fn unexplained(&self) -> BTreeMap<Print, BTreeSet<Life>> {
+    fn unexplained(&self) -> BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> {
         let mut trial = Trial::default();
-        let mut ends: Vec<(Life, &End)> = self.ends().collect();
+        let mut ends: Vec<(Incarnation, &End)> = self.ends().collect();
         ends.sort_unstable_by_key(|(life, end)| (end.at, *life));
         for (life, end) in ends {
             trial.hear(life, end);
@@ -194,8 +200,8 @@
     }
 
     /// Who is guilty by the number of ends alone.
-    fn often(&self) -> BTreeMap<Print, BTreeSet<Life>> {
-        let mut lives: BTreeMap<Print, BTreeSet<Life>> = BTreeMap::new();
+    fn often(&self) -> BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> {
+        let mut lives: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> = BTreeMap::new();
         for (life, end) in &self.ends {
             for (print, _) in end.suspects() {
                 lives.entry(print).or_default().insert(*life);
@@ -208,7 +214,7 @@
 
 impl End {
     /// The requests that were there, without those that were cleared of it.
-    fn suspects(&self) -> impl Iterator<Item = (Print, Part)> {
+    fn suspects(&self) -> impl Iterator<Item = (RequestFingerprint, Part)> {
         let there = self.there.iter().map(|(print, part)| (*print, *part));
         there.filter(|(_, part)| *part != Part::Cleared)
     }
@@ -220,21 +226,21 @@
     /// How many of its ends came soon behind the begin of its answer, as those do that a request causes.
     fresh: usize,
     /// All ends that it was at.
-    lives: BTreeSet<Life>,
+    lives: BTreeSet<Incarnation>,
     /// Those that nobody who is guilty explains.
-    own: BTreeSet<Life>,
+    own: BTreeSet<Incarnation>,
 }
 
 /// Ends heard one after the other.
 #[derive(Clone, Debug, Default)]
 struct Trial {
-    guilty: BTreeMap<Print, BTreeSet<Life>>,
-    suspects: BTreeMap<Print, Suspect>,
+    guilty: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>>,
+    suspects: BTreeMap<RequestFingerprint, Suspect>,
 }
 
 impl Trial {
-    fn hear(&mut self, life: Life, end: &End) {
-        let is_guilty = |(print, _): (Print, Part)| self.guilty.contains_key(&print);
+    fn hear(&mut self, life: Incarnation, end: &End) {
+        let is_guilty = |(print, _): (RequestFingerprint, Part)| self.guilty.contains_key(&print);
         let explained = end.suspects().any(is_guilty);
         for (print, part) in end.suspects() {
             if let Some(lives) = self.guilty.get_mut(&print) {
@@ -254,7 +260,7 @@
     }
 
     /// One that was at enough ends; of several the one that nobody explains the most of, and that had run the least.
-    fn worst(&self) -> Option<(Print, Suspect)> {
+    fn worst(&self) -> Option<(RequestFingerprint, Suspect)> {
         let often =
             |suspect: &Suspect| suspect.own.len() >= GUILTY || suspect.lives.len() >= GUILTY_ANYWAY;
         let often = self.suspects.iter().filter(|(_, suspect)| often(suspect));
@@ -263,8 +269,8 @@
     }
 
     /// Convicts a request, and those that were at the same ends and can not be told from it.
-    fn convict(&mut self, print: Print, worst: &Suspect) {
-        let alike = |other: &Print, suspect: &mut Suspect| {
+    fn convict(&mut self, print: RequestFingerprint, worst: &Suspect) {
+        let alike = |other: &RequestFingerprint, suspect: &mut Suspect| {
             let same = suspect.own == worst.own && suspect.fresh == worst.fresh;
             *other == print || (same && worst.own.len() >= GUILTY)
         };
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -197,7 +197,7 @@
             return passage;
         }
         if let Some(sighting) = self.sightings.get(relay.prompt) {
-            let find = |life: Option<Life>| self.lives.get(&life?).copied();
+            let find = |life: Option<Incarnation>| self.lives.get(&life?).copied();
             passage.prefer = find(sighting.upstream);
             passage.copy = find(sighting.backup).map(|upstream| request::Copy {
                 run: sighting.run.as_str().into(),
@@ -419,7 +419,7 @@
     }
 
     /// Another instance lost an upstream. That may be its own link, so it is only one failure.
-    pub(crate) fn blamed(&mut self, life: Life) {
+    pub(crate) fn blamed(&mut self, life: Incarnation) {
         if let Some(key) = self.lives.get(&life) {
             self.upstreams[*key].trouble.add(self.now);
         }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -62,8 +62,8 @@
     pub fn sighting(
         &self,
         stage: sighting::Stage,
-        upstream: Option<Life>,
-        backup: Option<Life>,
+        upstream: Option<Incarnation>,
+        backup: Option<Incarnation>,
     ) -> Sighting {
         Sighting {
             backup,
@@ -203,7 +203,7 @@
     /// How far a relayed answer has come.
     pub passage: Passage,
     /// What tells that it is one of several tries of its caller.
-    pub print: Print,
+    pub print: RequestFingerprint,
     /// Time by which it must have been sent.
     pub send_by: Time,
     /// For how long its caller had waited before it asked here, as far as is known, in milliseconds.
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Entry {
     /// It went.
-    Gone,
+    Deleted,
     /// It was written.
     Listed(Listed),
     /// It was written and names no upstream to use, as another writer's: the one under this name gets no new work.
-    Odd,
+    Invalid,
 }
 
 /// Time that a datagram may take, in milliseconds: who hears that an entry is missing counts from then on.
@@ -51,32 +51,32 @@
 
 /// What an instance tells others of the list.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Word {
-    /// For how long the store was away before, in milliseconds; with `returning_ms`, else 0.
-    pub away_ms: u64,
+pub struct RosterUpdate {
+    /// For how long the store was away before, in milliseconds; with `grace_ms`, else 0.
+    pub outage_ms: u64,
     /// In the order of their positions.
     pub changes: Vec<Change>,
     /// Position behind which the changes begin.
     pub from: Position,
     /// Whether entries that go are believed for longer than behind one absence, since the store was away again soon.
-    pub held: bool,
+    pub is_grace_extended: bool,
     /// Time for which entries that go are still believed, in milliseconds: the store was away.
-    pub returning_ms: u64,
+    pub grace_ms: u64,
     /// For how long the store had not been away for who tells it, in milliseconds.
-    pub steady_ms: u64,
+    pub uptime_ms: u64,
     /// Position up to which they are told.
     pub to: Position,
 }
 
 /// What word from another instance is worth.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Worth {
+pub enum UpdateOutcome {
     /// The list is known up to its position.
-    Fresh,
+    Applied,
     /// Changes before it are missing.
     Gap,
     /// More is known already.
-    Old,
+    Stale,
 }
 
 /// Upstreams by their names.
@@ -84,7 +84,7 @@
 pub struct Roster {
     /// Whether the store was away for this instance too. One that it answers knows that entries which go
     /// missing have not lapsed for want of a store, whatever those that were refused tell.
-    pub away: bool,
+    pub is_store_down: bool,
     /// Position of the last change that is known.
     pub changed: Position,
     entries: BTreeMap<String, Listed>,
@@ -95,7 +95,7 @@
     /// Whether another instance told of that.
     hearsay: bool,
     /// Lives that left or went of late.
-    left: BTreeMap<Life, Left>,
+    left: BTreeMap<Incarnation, Left>,
     /// Entries that are missing and are believed, since they may have gone while the store was away.
     lapsing: BTreeSet<String>,
     /// Those that are new among them.
@@ -105,7 +105,7 @@
     /// The newest position that anything was known at.
     seen: Position,
     /// Lives whose entries another writer wrote over.
-    spoilt: BTreeMap<String, Life>,
+    spoilt: BTreeMap<String, Incarnation>,
     /// Changes not yet told to other instances.
     untold: Vec<Change>,
     /// Position up to which other instances were told; `None` before the first time.
@@ -122,36 +122,41 @@
     to: Position,
 }
 
-impl Word {
+impl RosterUpdate {
     /// When the store was away for who told it, if entries that went then are still believed.
     pub fn away(&self, now: Time) -> Option<Span> {
-        if self.returning_ms == 0 {
+        if self.grace_ms == 0 {
             return None;
         }
-        let to = now.before(absence::BELIEVED_MS.saturating_sub(self.returning_ms));
-        let from = to.before(self.away_ms);
+        let to = now.before(availability::GRACE_MS.saturating_sub(self.grace_ms));
+        let from = to.before(self.outage_ms);
         Some(Span { from, to })
     }
 }
 
 impl Roster {
     /// Takes in what an instance that watches told; the list is known up to `known`.
-    pub fn hear(&mut self, word: &Word, known: Position, now: Time) -> Worth {
+    pub fn apply_update(
+        &mut self,
+        word: &RosterUpdate,
+        known: Position,
+        now: Time,
+    ) -> UpdateOutcome {
         // Also where changes before it are missing: who reads them itself would else count the absence from its own first answer.
-        if self.away {
+        if self.is_store_down {
             let heard = word.away(now);
             self.believe(heard, ANOTHER_MS);
             self.hearsay |= heard.is_some();
-            if word.held {
+            if word.is_grace_extended {
                 // Upstreams could not enter themselves meanwhile.
-                self.hold(now.after(word.returning_ms));
+                self.extend_grace(now.after(word.grace_ms));
             }
         }
         if word.from > known {
-            return Worth::Gap;
+            return UpdateOutcome::Gap;
         }
         if word.to < known {
-            return Worth::Old;
+            return UpdateOutcome::Stale;
         }
         for change in &word.changes {
             if change.position > known {
@@ -159,15 +164,20 @@
                 self.apply(&change, now);
             }
         }
-        Worth::Fresh
+        UpdateOutcome::Applied
     }
 
     /// Takes in what came too early, now that the list is known up to `known`; up to which position it is
     /// known then. What still misses something before it is left.
-    pub fn catch_up(&mut self, mut known: Position, early: &mut Vec<Word>, now: Time) -> Position {
+    pub fn catch_up(
+        &mut self,
+        mut known: Position,
+        early: &mut Vec<RosterUpdate>,
+        now: Time,
+    ) -> Position {
         while let Some(next) = early.iter().position(|word| word.from <= known) {
             let word = early.swap_remove(next);
-            if self.hear(&word, known, now) == Worth::Fresh {
+            if self.apply_update(&word, known, now) == UpdateOutcome::Applied {
                 known = word.to;
             }
         }
@@ -181,8 +191,8 @@
 
     /// Gives up upstreams that are missing for long enough, now that the store has just been heard: one that is
     /// away again hears nobody enter.
-    pub fn give_up(&mut self, now: Time) {
-        if self.believed_ms(now) > HOP_MS {
+    pub fn remove_expired(&mut self, now: Time) {
+        if self.grace_ms(now) > HOP_MS {
             return;
         }
         for name in std::mem::take(&mut self.lapsing) {
@@ -191,59 +201,64 @@
     }
 
     /// Entries that are believed though they are missing, each told once.
-    pub fn new_lapsing(&mut self) -> Vec<String> {
+    pub fn take_new_missing(&mut self) -> Vec<String> {
         std::mem::take(&mut self.new_lapsing)
     }
 
     /// For how much longer entries that are missing are believed, in milliseconds.
-    pub fn believed_ms(&self, now: Time) -> u64 {
+    pub fn grace_ms(&self, now: Time) -> u64 {
         self.absent
-            .map_or(0, |absent| absence::believed_ms(absent, now))
+            .map_or(0, |absent| availability::grace_ms(absent, now))
     }
 
     /// When the store is to be heard of entries that are missing.
-    pub fn next_lapse(&self) -> Option<Time> {
+    pub fn next_expiry(&self) -> Option<Time> {
         let absent = self.absent.filter(|_| !self.lapsing.is_empty())?;
-        Some(absent.to.after(absence::BELIEVED_MS))
+        Some(absent.to.after(availability::GRACE_MS))
     }
 
     /// Has what comes next told as changes behind a position: the others know of all before it.
-    pub fn tell_from(&mut self, position: Position) {
+    pub fn set_announced(&mut self, position: Position) {
         self.told = Some(position);
         self.untold.clear();
     }
 
-    /// What other instances are to be told up to a position; at least that nothing has changed. `steady_ms` is for how long the
+    /// What other instances are to be told up to a position; at least that nothing has changed. `uptime_ms` is for how long the
     /// store has not been away.
-    pub fn words(&mut self, known: Position, steady_ms: u64, now: Time) -> Vec<Word> {
+    pub fn pending_updates(
+        &mut self,
+        known: Position,
+        uptime_ms: u64,
+        now: Time,
+    ) -> Vec<RosterUpdate> {
         let mut from = self.told.unwrap_or(known);
         let untold = std::mem::take(&mut self.untold);
-        let returning_ms = self.believed_ms(now);
-        let away = self.absent.filter(|_| returning_ms > 0);
-        let away_ms = away.map_or(0, |away| away.to.since(away.from));
-        let mut words: Vec<Word> = Vec::new();
+        let grace_ms = self.grace_ms(now);
+        let away = self.absent.filter(|_| grace_ms > 0);
+        let outage_ms = away.map_or(0, |away| away.to.since(away.from));
+        let mut words: Vec<RosterUpdate> = Vec::new();
         for changes in split(&untold) {
             let to = changes.last().map_or(from, |change| change.position);
-            words.push(Word {
-                away_ms,
+            words.push(RosterUpdate {
+                outage_ms,
                 changes: changes.to_vec(),
                 from,
-                held: self.held,
-                returning_ms,
-                steady_ms,
+                is_grace_extended: self.held,
+                grace_ms,
+                uptime_ms,
                 to,
             });
             from = to;
         }
         match words.last_mut() {
             Some(last) => last.to = known,
-            None => words.push(Word {
-                away_ms,
+            None => words.push(RosterUpdate {
+                outage_ms,
                 changes: Vec::new(),
                 from,
-                held: self.held,
-                returning_ms,
-                steady_ms,
+                is_grace_extended: self.held,
+                grace_ms,
+                uptime_ms,
                 to: known,
             }),
         }
@@ -252,7 +267,7 @@
     }
 
     /// Takes in all that the store lists at a position, which was `away` last. Entries that are missing are believed for a while.
-    pub fn take_all(
+    pub fn replace_all(
         &mut self,
         entries: &[Change],
         position: Position,
@@ -288,7 +303,7 @@
     }
 
     /// Takes in changes that the store told, which was `away` last. Entries that go are believed for a while.
-    pub fn take(&mut self, changes: Vec<Change>, away: Option<Span>, now: Time) {
+    pub fn apply_changes(&mut self, changes: Vec<Change>, away: Option<Span>, now: Time) {
         self.believe_own(away);
         for change in changes {
             self.changed = self.changed.max(change.position);
@@ -301,7 +316,7 @@
     fn apply(&mut self, change: &Change, now: Time) {
         self.seen = self.seen.max(change.position);
         match &change.entry {
-            Entry::Gone => self.remove(&change.name, now),
+            Entry::Deleted => self.remove(&change.name, now),
             Entry::Listed(listed) => {
                 let former = self.entries.get(&change.name).map(Listed::life);
                 if let Some(former) = former.filter(|former| *former != listed.life()) {
@@ -315,7 +330,7 @@
                 self.places.insert(change.name.clone(), change.position);
                 self.entries.insert(change.name.clone(), listed.clone());
             }
-            Entry::Odd => {
+            Entry::Invalid => {
                 self.lapsing.remove(&change.name);
                 self.places.remove(&change.name);
                 if let Some(listed) = self.entries.remove(&change.name) {
@@ -338,7 +353,7 @@
             place.era < change.position.era && change.position.revision < place.revision;
         if is_copied && known.is_some_and(|known| known != listed.life()) {
             // A former life, from before the one that is known began.
-            change.entry = Entry::Gone;
+            change.entry = Entry::Deleted;
             return change;
         }
         let before =
@@ -349,13 +364,13 @@
         if left.leaving {
             listed.leaving = true;
         } else if change.position.revision <= left.to.revision {
-            change.entry = Entry::Gone;
+            change.entry = Entry::Deleted;
         }
         change
     }
 
     /// Remembers that a life left or went.
-    fn note_left(&mut self, life: Life, leaving: bool, at: Time) {
+    fn note_left(&mut self, life: Incarnation, leaving: bool, at: Time) {
         let known = self.left.get(&life);
         if known.is_some_and(|left| left.leaving || !leaving && left.to.era == self.seen.era) {
             return;
@@ -402,13 +417,13 @@
     }
 
     /// The store was not away in a span, as another instance tells: entries that are missing have not gone for want of it then.
-    pub fn doubt_absence(&mut self, steady: Span, absence: &Absence, now: Time) {
+    pub fn shorten_outage(&mut self, steady: Span, absence: &Availability, now: Time) {
         let Some(absent) = &mut self.absent else {
             return;
         };
-        let over = now.before(absence::BELIEVED_MS);
+        let over = now.before(availability::GRACE_MS);
         let to = absence
-            .without(*absent, steady)
+            .exclude_uptime(*absent, steady)
             .map_or(over, |left| left.to);
         absent.to = absent.to.min(to);
         absent.from = absent.from.min(absent.to);
@@ -416,11 +431,11 @@
 
     /// Has entries that are missing believed up to a time at least: calls failed again soon behind an absence, and
     /// upstreams could not enter themselves meanwhile.
-    pub fn hold(&mut self, until: Time) {
+    pub fn extend_grace(&mut self, until: Time) {
         if let Some(absent) = &mut self.absent
-            && until <= absent.to.after(absence::BELIEVED_MS + ANOTHER_MS)
+            && until <= absent.to.after(availability::GRACE_MS + ANOTHER_MS)
         {
-            let to = until.before(absence::BELIEVED_MS);
+            let to = until.before(availability::GRACE_MS);
             self.held |= to > absent.to;
             absent.to = absent.to.max(to);
         }
@@ -428,13 +443,13 @@
 
     /// Another instance tells of a return behind the one that is known here. If this instance found the store not to answer in between
     /// it is another return, however soon: upstreams have from then on to enter themselves.
-    pub fn hear_return(&mut self, away: Span, unanswered: Option<Time>) {
+    pub fn note_peer_return(&mut self, away: Span, unanswered: Option<Time>) {
         let known = self.absent.map(|absent| absent.to);
         let between = known
             .zip(unanswered)
             .is_some_and(|(known, unanswered)| known < unanswered && unanswered < away.to);
         if between {
-            self.hold(away.to.after(absence::BELIEVED_MS));
+            self.extend_grace(away.to.after(availability::GRACE_MS));
         }
     }
 
@@ -445,7 +460,7 @@
         if !self.entries.contains_key(name) {
             return;
         }
-        if self.believed_ms(now) == 0 {
+        if self.grace_ms(now) == 0 {
             self.forget(name, now);
             self.lapsing.remove(name);
         } else if self.lapsing.insert(name.to_owned()) {
@@ -475,7 +490,7 @@
 /// Bytes that a change takes in a datagram, at most.
 fn size(change: &Change) -> usize {
     let texts = match &change.entry {
-        Entry::Gone | Entry::Odd => 0,
+        Entry::Deleted | Entry::Invalid => 0,
         Entry::Listed(listed) => {
             let named = listed.data_centre.len() + listed.pool.len() + listed.version.len();
             listed.address.to_string().len() + named
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -22,7 +22,7 @@
 const KEPT: usize = 20_000;
 
 /// Upstreams by their lives.
-pub(crate) type Lives = BTreeMap<Life, upstream::Key>;
+pub(crate) type Lives = BTreeMap<Incarnation, upstream::Key>;
 
 /// Where a stream stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Sighting {
     /// Upstream that keeps a copy of its memory.
-    pub backup: Option<Life>,
+    pub backup: Option<Incarnation>,
     /// Name of the pool that it waits for; empty if it does not wait.
     pub pool: String,
     /// Identity of the prompt.
@@ -55,7 +55,7 @@
     /// Tokens of prompt and longest answer.
     pub tokens: u32,
     /// Upstream that runs it.
-    pub upstream: Option<Life>,
+    pub upstream: Option<Incarnation>,
 }
 
 /// One stream that was told of.
@@ -142,7 +142,7 @@
                     self.forget_older(now);
                 }
                 let prompt = sighting.prompt;
-                let find = |life: Option<Life>| lives.get(&life?).copied();
+                let find = |life: Option<Incarnation>| lives.get(&life?).copied();
                 self.forget(prompt);
                 let seen = Seen {
                     at: now,
@@ -176,7 +176,7 @@
     }
 
     /// An upstream is known now of which streams may have been told before.
-    pub fn resolve(&mut self, life: Life, key: upstream::Key, now: Time) {
+    pub fn resolve(&mut self, life: Incarnation, key: upstream::Key, now: Time) {
         let life = Some(life);
         let named: Vec<u64> = self
             .seen
--- a/crates/core/src/bound.rs
+++ b/crates/core/src/staleness.rs
@@ -11,24 +11,24 @@
 
 /// The longest time of a call of the configuration and of the pause behind it, in milliseconds: what is left for them by the
 /// reads of a configuration that others have.
-const CALL_MOST_MS: u64 = BACK_MS - MARGIN_MS - line::RETRY_MOST_MS - informer::READS_ALL_MS;
+const CALL_MAX_MS: u64 = BACK_MS - MARGIN_MS - store_calls::RETRY_MAX_MS - informer::READS_ALL_MS;
 
 /// The longest time without word, in milliseconds: what is left for it by a call of the list that was taken just before the
 /// return.
-const SILENCE_MOST_MS: u64 = BACK_MS - MARGIN_MS - line::SOON_ALL_MS;
+const SILENCE_MAX_MS: u64 = BACK_MS - MARGIN_MS - store_calls::SOON_ALL_MS;
 
 /// Times derived from the bound within which every instance must know of a change, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct StalenessBound {
     /// The bound. Of it about a half passes before silence is noticed; the rest is for asking the store.
     pub bound_ms: u64,
 }
 
-impl Bound {
+impl StalenessBound {
     /// The longest time in which an answer must begin: of the bound, half is for a call that a silent store took and
     /// never answers, and half for the next one.
     pub fn call_ms(self) -> u64 {
-        (self.bound_ms / 2).min(CALL_MOST_MS)
+        (self.bound_ms / 2).min(CALL_MAX_MS)
     }
 
     /// Longest time between two calls of the instance that shows the others that nothing has changed.
@@ -46,9 +46,9 @@
     /// that watch may be refused longer than others.
     pub fn silence_ms(self, role: Role) -> u64 {
         match role {
-            Role::Deputy => self.bound_ms / 2,
-            Role::Alone | Role::Follower | Role::Watcher => {
-                (self.bound_ms * 3 / 5).min(SILENCE_MOST_MS)
+            Role::Standby => self.bound_ms / 2,
+            Role::Independent | Role::Follower | Role::Watcher => {
+                (self.bound_ms * 3 / 5).min(SILENCE_MAX_MS)
             }
         }
     }
@@ -57,8 +57,8 @@
     /// whatever call it has out. It is longer than the time between two such calls by what a slow store takes; the
     /// fifth of the bound that is left at the longest is for the call, a datagram and a process that runs late. The
     /// first of those that watch asks first, so that its answer spares the others.
-    pub fn unconfirmed_ms(self, turn: Turn) -> u64 {
-        let spread = self.bound_ms / 10 * turn.rank as u64 / turn.count.max(1) as u64;
+    pub fn unconfirmed_ms(self, rank: WatcherRank) -> u64 {
+        let spread = self.bound_ms / 10 * rank.rank as u64 / rank.count.max(1) as u64;
         self.bound_ms * 7 / 10 + spread
     }
 
--- a/crates/core/src/line.rs
+++ b/crates/core/src/store_calls.rs
@@ -4,11 +4,11 @@
 
 /// Time in which the store's answer must begin, in milliseconds: many times the few that it takes, and twice what it
 /// takes when it is slow. An instance that starts while the store is silent tries again soon.
-pub const PATIENCE_MS: u64 = 600;
+pub const TIMEOUT_MS: u64 = 600;
 
 /// The longest such time behind failures of an instance that the store has never answered, in milliseconds: many that
 /// start at once read long lists together.
-const PATIENCE_MOST_MS: u64 = 5_000;
+const TIMEOUT_MAX_MS: u64 = 5_000;
 
 /// Pause after a call that failed, in milliseconds: it doubles with each further failure up to the end, since refused
 /// calls are paid for in full, also those that cost a tenth when they are answered.
@@ -23,7 +23,7 @@
 const SOON: u32 = 40;
 
 /// The longest pause after a call that failed, in milliseconds.
-pub(crate) const RETRY_MOST_MS: u64 = *RETRY_MS.end();
+pub(crate) const RETRY_MAX_MS: u64 = *RETRY_MS.end();
 
 /// Time and pause of a call behind a failure together, in milliseconds.
 pub(crate) const SOON_ALL_MS: u64 = SOON_MS.0 + SOON_MS.1;
@@ -58,7 +58,7 @@
 
 /// The calls of one topic.
 #[derive(Debug)]
-pub struct Line {
+pub struct StoreCalls {
     /// Whether the last call was answered.
     pub(crate) answered: bool,
     /// Since when others are known to know more.
@@ -70,7 +70,7 @@
     /// The call that is out.
     pub(crate) out: Option<Out>,
     /// Time in which the next answer must begin, in milliseconds.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     pause_ms: u64,
     /// Failures in a row.
     failures: u32,
@@ -86,7 +86,7 @@
     pub(crate) told: Time,
 }
 
-impl Default for Line {
+impl Default for StoreCalls {
     fn default() -> Self {
         Self {
             answered: false,
@@ -94,7 +94,7 @@
             confirmed: Time::default(),
             failed: None,
             out: None,
-            patience_ms: PATIENCE_MS,
+            timeout_ms: TIMEOUT_MS,
             pause_ms: 0,
             failures: 0,
             forgotten: false,
@@ -106,7 +106,7 @@
     }
 }
 
-impl Line {
+impl StoreCalls {
     /// Calls that are made again soon behind a failure.
     pub(crate) fn hurried() -> Self {
         Self {
@@ -121,20 +121,26 @@
     }
 
     /// Notes an answer to the call that was out.
-    pub fn answer(&mut self) {
+    pub fn record_success(&mut self) {
         self.answered = true;
         self.failed = None;
         self.failures = 0;
         self.out = None;
-        self.patience_ms = PATIENCE_MS;
+        self.timeout_ms = TIMEOUT_MS;
         self.pause_ms = 0;
     }
 
     /// Notes that the call that was out failed; `urgent` if nobody can be served before it is answered.
-    pub fn fail(&mut self, urgent: bool, absence: &Absence, bound: Bound, now: Time) {
+    pub fn record_failure(
+        &mut self,
+        urgent: bool,
+        absence: &Availability,
+        bound: StalenessBound,
+        now: Time,
+    ) {
         self.failures += 1;
         self.pause_ms = self.pause(urgent, absence, now);
-        self.patience_ms = self.patience(absence, bound);
+        self.timeout_ms = self.next_timeout(absence, bound);
         self.answered = false;
         self.failed = Some(now);
         self.out = None;
@@ -163,35 +169,35 @@
     }
 
     /// Whether it is short and soon, as behind a failure of a store that has answered before.
-    fn hurries(&self, absence: &Absence) -> bool {
-        self.hurried && absence.answered().is_some() && self.failures < SOON
+    fn hurries(&self, absence: &Availability) -> bool {
+        self.hurried && absence.last_answer().is_some() && self.failures < SOON
     }
 
     /// Time that the next call has behind a failure, in milliseconds.
-    fn patience(&self, absence: &Absence, bound: Bound) -> u64 {
+    fn next_timeout(&self, absence: &Availability, bound: StalenessBound) -> u64 {
         if self.hurries(absence) {
             return SOON_MS.0;
         }
-        let most = match absence.answered() {
-            Some(_) => bound.call_ms().max(PATIENCE_MS),
-            None => PATIENCE_MOST_MS,
+        let most = match absence.last_answer() {
+            Some(_) => bound.call_ms().max(TIMEOUT_MS),
+            None => TIMEOUT_MAX_MS,
         };
-        (self.patience_ms * 2).min(most)
+        (self.timeout_ms * 2).min(most)
     }
 
     /// Pause behind a failure, in milliseconds.
-    fn pause(&self, urgent: bool, absence: &Absence, now: Time) -> u64 {
+    fn pause(&self, urgent: bool, absence: &Availability, now: Time) -> u64 {
         if self.hurries(absence) {
             // One that is refused at once is not asked twenty times a second.
             let took = self.out.map_or(0, |out| now.since(out.began));
-            return if took < PATIENCE_MS {
+            return if took < TIMEOUT_MS {
                 (self.pause_ms * 2).clamp(*RETRY_MS.start(), SOON_ALL_MS)
             } else {
                 SOON_MS.1
             };
         }
         let is_back = |answered: Time| now.since(answered) < BACK_MS;
-        let pause = if absence.answered().is_some_and(is_back) {
+        let pause = if absence.last_answer().is_some_and(is_back) {
             *RETRY_MS.start()
         } else {
             (self.pause_ms * 2).clamp(*RETRY_MS.start(), *RETRY_MS.end())
@@ -209,12 +215,12 @@
     }
 
     /// When the next call may be made.
-    pub fn may(&self, absence: &Absence) -> Time {
+    pub fn next_call_at(&self, absence: &Availability) -> Time {
         let Some(failed) = self.failed else {
             return self.ready;
         };
         let late = failed.after(self.pause_ms);
-        if absence.answered() >= self.failed {
+        if absence.last_answer() >= self.failed {
             late.min(failed.after(RETRY_BACK_MS))
         } else {
             late
@@ -230,18 +236,18 @@
     /// or the store has answered other calls behind some that failed, and this one was taken in the silence. A silent
     /// store never answers it; with 10 s of waiting, leaving upstreams got requests for 2.2 s more than allowed, and with 4.8 s for a
     /// first read those that watch for others had no configuration to tell 3 s behind the store's return.
-    pub(crate) fn hopeless(&self, absence: &Absence) -> Option<(Time, Why)> {
+    pub(crate) fn hopeless(&self, absence: &Availability) -> Option<(Time, CancelReason)> {
         let out = self.out?;
         let behind = self
             .behind
             .filter(|_| out.waits)
             .map(|behind| behind.max(out.began).after(BEHIND_MS));
         let recovered = absence
-            .recovered()
+            .recovered_at()
             .filter(|recovered| *recovered > out.began);
-        let overtaken = recovered.map(|recovered| recovered.after(PATIENCE_MS));
-        let behind = behind.map(|at| (at, Why::Behind));
-        let overtaken = overtaken.map(|at| (at, Why::Overtaken));
+        let overtaken = recovered.map(|recovered| recovered.after(TIMEOUT_MS));
+        let behind = behind.map(|at| (at, CancelReason::PeersAhead));
+        let overtaken = overtaken.map(|at| (at, CancelReason::Stalled));
         behind
             .into_iter()
             .chain(overtaken)
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -29,13 +29,13 @@
     /// When the first broke.
     since: Time,
     /// The requests that were sent on them.
-    there: BTreeMap<Print, quarantine::Part>,
+    there: BTreeMap<RequestFingerprint, quarantine::Part>,
 }
 
 /// A request that is not sent on before it is known whether its last upstream ended.
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    life: Life,
+    life: Incarnation,
     reason: counter::Reason,
     request: request::Key,
     until: Time,
@@ -45,32 +45,32 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspicion {
     account: Account,
-    guilty: BTreeMap<Print, BTreeSet<Life>>,
+    guilty: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>>,
     held: Vec<Held>,
-    pending: HashMap<Life, Pending>,
+    pending: HashMap<Incarnation, Pending>,
     /// Ends that this instance saw itself.
-    seen: BTreeSet<Life>,
+    seen: BTreeSet<Incarnation>,
 }
 
 impl Suspicion {
     /// Whether this instance saw one of some lives end itself.
-    fn saw(&self, lives: &BTreeSet<Life>) -> bool {
+    fn saw(&self, lives: &BTreeSet<Incarnation>) -> bool {
         lives.iter().any(|life| self.seen.contains(life))
     }
 
     /// Guilty requests of whose ends this instance saw one itself.
-    fn own_guilty(&self) -> BTreeSet<Print> {
+    fn own_guilty(&self) -> BTreeSet<RequestFingerprint> {
         let own = self.guilty.iter().filter(|(_, lives)| self.saw(lives));
         own.map(|(print, _)| *print).collect()
     }
 
     /// Whether a request was at any end, or may have been.
-    fn knows(&self, print: Print) -> bool {
+    fn knows(&self, print: RequestFingerprint) -> bool {
         self.ends(print) > 0
     }
 
     /// Ends at which a request was, those with it that are not certain.
-    fn ends(&self, print: Print) -> usize {
+    fn ends(&self, print: RequestFingerprint) -> usize {
         let pending = self.pending.values().filter(|pending| !pending.answered);
         let pending = pending.filter(|pending| pending.there.contains_key(&print));
         self.account.lives(print).count() + pending.count()
@@ -84,17 +84,17 @@
 
 impl Core {
     /// Whether a request is refused, since it ends the upstreams that run it.
-    pub(crate) fn is_guilty(&self, print: Print) -> bool {
+    pub(crate) fn is_guilty(&self, print: RequestFingerprint) -> bool {
         self.suspicion.guilty.contains_key(&print)
     }
 
     /// Whether a request was at an upstream that ended.
-    pub(crate) fn is_suspect(&self, print: Print) -> bool {
+    pub(crate) fn is_suspect(&self, print: RequestFingerprint) -> bool {
         !self.suspicion.is_idle() && self.suspicion.knows(print)
     }
 
     /// The requests that are refused.
-    pub fn quarantined(&self) -> impl Iterator<Item = Print> {
+    pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.suspicion.guilty.keys().copied()
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// It is known whether an upstream ended whose connections broke.
-    pub(crate) fn checked(&mut self, life: Life, ended: bool) {
+    pub(crate) fn checked(&mut self, life: Incarnation, ended: bool) {
         if ended {
             self.ended(life);
         } else if let Some(pending) = self.suspicion.pending.get_mut(&life) {
@@ -150,13 +150,17 @@
     }
 
     /// An upstream has ended without a word; what was sent on connections that broke was there.
-    pub(crate) fn ended(&mut self, life: Life) {
+    pub(crate) fn ended(&mut self, life: Incarnation) {
         if let Some(pending) = self.suspicion.pending.remove(&life) {
             self.note_end(life, &pending.there);
         }
     }
 
-    fn note_end(&mut self, life: Life, there: &BTreeMap<Print, quarantine::Part>) {
+    fn note_end(
+        &mut self,
+        life: Incarnation,
+        there: &BTreeMap<RequestFingerprint, quarantine::Part>,
+    ) {
         let mut news = Account::default();
         for (print, part) in there {
             if self.suspicion.account.add(life, *print, *part, self.now) {
@@ -179,7 +183,7 @@
     }
 
     /// A request was answered whole: it ends no upstream.
-    pub(crate) fn acquit(&mut self, print: Print) {
+    pub(crate) fn acquit(&mut self, print: RequestFingerprint) {
         if !self.is_suspect(print) {
             return;
         }
@@ -211,15 +215,15 @@
         let account = &suspicion.account;
         suspicion.seen.retain(|life| account.has(*life));
         let before = std::mem::replace(&mut suspicion.guilty, account.guilty(rule));
-        let found: Vec<Print> = suspicion.guilty.keys().copied().collect();
+        let found: Vec<RequestFingerprint> = suspicion.guilty.keys().copied().collect();
         let found = found
             .into_iter()
             .filter(|print| !before.contains_key(print));
-        for print in found.collect::<Vec<Print>>() {
+        for print in found.collect::<Vec<RequestFingerprint>>() {
             self.condemn(print);
         }
-        let freed = |print: &&Print| !self.suspicion.guilty.contains_key(print);
-        let freed: Vec<Print> = before.keys().filter(freed).copied().collect();
+        let freed = |print: &&RequestFingerprint| !self.suspicion.guilty.contains_key(print);
+        let freed: Vec<RequestFingerprint> = before.keys().filter(freed).copied().collect();
         for print in freed {
             // Only who kept it removes it: else each of hundreds would write when one lapses.
             let own = own.contains(&print);
@@ -230,7 +234,7 @@
     }
 
     /// A request is guilty from now on: nothing of it is sent any more, and what an upstream has not yet begun is taken back.
-    fn condemn(&mut self, print: Print) {
+    fn condemn(&mut self, print: RequestFingerprint) {
         self.count(Counter::Quarantined);
         let suspicion = &self.suspicion;
         let own = suspicion.saw(&suspicion.guilty[&print]);
@@ -315,7 +319,11 @@
     /// Requests of this instance at an upstream that a request had better be sent apart from: one that was at an end from all that
     /// were, so that the next end tells them from each other; any other from those that were at two, so that it is in no
     /// third with them.
-    pub(crate) fn suspects_beside(&self, print: Print, candidate: upstream::Key) -> usize {
+    pub(crate) fn suspects_beside(
+        &self,
+        print: RequestFingerprint,
+        candidate: upstream::Key,
+    ) -> usize {
         if self.suspicion.is_idle() {
             return 0;
         }
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -101,7 +101,7 @@
     /// Whether it gets no work, as it is of another version than the one in force.
     pub held: bool,
     /// Its life.
-    pub life: Life,
+    pub life: Incarnation,
     /// Whether the platform's list says that it is leaving, or has dropped it.
     pub leaving: bool,
     /// Until when an earlier word that it is leaving counts, though the list says otherwise.
@@ -211,5 +211,5 @@
 
 /// Hash of an upstream's name, as cursors carry it.
 pub fn id(name: &str) -> u64 {
-    print::first(&blake3::hash(name.as_bytes()))
+    fingerprint::first(&blake3::hash(name.as_bytes()))
 }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -57,7 +57,7 @@
 
     /// A word that an upstream is leaving, which the platform's list may not say yet.
     pub(crate) fn hint_leaving(&mut self, name: &str) {
-        if let Some(key) = self.namesake(Life::new(name, 0)) {
+        if let Some(key) = self.namesake(Incarnation::new(name, 0)) {
             self.leave(key);
         }
     }
@@ -235,9 +235,9 @@
     }
 
     /// The upstream that is known under the name of a life, which may be another life.
-    fn namesake(&self, life: Life) -> Option<upstream::Key> {
+    fn namesake(&self, life: Incarnation) -> Option<upstream::Key> {
         self.lives
-            .range(life.namesakes())
+            .range(life.same_name_range())
             .next()
             .map(|(_, key)| *key)
     }
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -3,7 +3,7 @@
 use {
     googletest::prelude::*,
     wellplank_core::{
-        claim::{Bucket, Claim, Place},
+        claim::{Bucket, BucketId, Claim},
         clock::Time,
         event::ClaimOutcome,
         settings::Settings,
@@ -85,7 +85,7 @@
     let place = claim(key(NOW.0), 1, 1).unwrap().place();
     let lease_begins = NOW.0 - settings.key_lead_max_ms;
     let last_use = NOW.0 + settings.key_age_max_ms + settings.key_lead_max_ms;
-    expect_that!(Place::ttl_ms(&settings), gt(last_use - lease_begins));
+    expect_that!(BucketId::ttl_ms(&settings), gt(last_use - lease_begins));
     expect_that!(place.lease(), gt(0));
 }
 
--- a/crates/core/tests/informer.rs
+++ b/crates/core/tests/informer.rs
@@ -3,19 +3,19 @@
 use {
     googletest::prelude::*,
     wellplank_core::{
-        absence::Absence,
-        bound::Bound,
+        availability::Availability,
         clock::Time,
         informer::Informer,
-        lesson::{Answer, Call, Content, Heard, Input, Output, Topic},
+        informer_io::{Answer, Call, Content, Input, Output, PeerReport, Topic},
         position::Position,
-        roster::{Change, Entry, Word},
+        roster::{Change, Entry, RosterUpdate},
+        staleness::StalenessBound,
     },
 };
 
 /// An informer that asks alone, and the store's state.
 struct Test {
-    absence: Absence,
+    absence: Availability,
     informer: Informer,
     now: Time,
     outputs: Vec<Output>,
@@ -24,8 +24,8 @@
 impl Test {
     fn new() -> Self {
         let now = Time(1_000_000);
-        let absence = Absence::new(1_200);
-        let bound = Bound { bound_ms: 2_000 };
+        let absence = Availability::new(1_200);
+        let bound = StalenessBound { bound_ms: 2_000 };
         let mut test = Self {
             absence,
             informer: Informer::new(bound, 2_000, absence, now),
@@ -45,15 +45,15 @@
     }
 
     fn take(&mut self, input: Input) {
-        let outputs = self.informer.take(input, self.absence, self.now);
+        let outputs = self.informer.handle(input, self.absence, self.now);
         self.outputs.extend(outputs);
     }
 
     fn answer(&mut self, call: Call, answer: Answer) {
-        if let Answer::Known(_, position) = &answer {
-            self.absence.show(position.era, self.now);
+        if let Answer::Complete(_, position) = &answer {
+            self.absence.observe_era(position.era, self.now);
         }
-        self.absence.answer(self.now);
+        self.absence.record_success(self.now);
         self.take(Input::Answered(call.id, answer));
     }
 
@@ -70,7 +70,7 @@
                 .drain(..)
                 .rev()
                 .find_map(|output| match output {
-                    Output::Ask(call) if call.topic == Topic::Upstreams => Some(call),
+                    Output::Call(call) if call.topic == Topic::Upstreams => Some(call),
                     _ => None,
                 });
             if asked.is_some() || self.now >= end {
@@ -90,7 +90,7 @@
 
 /// An answer that lists nothing up to a position.
 fn known(position: Position) -> Answer {
-    Answer::Known(Content::Upstreams(Vec::new()), position)
+    Answer::Complete(Content::Upstreams(Vec::new()), position)
 }
 
 #[gtest]
@@ -104,7 +104,7 @@
         };
         calls += 1;
         let answer = match call.since {
-            Some(_) => Answer::Forgotten,
+            Some(_) => Answer::Compacted,
             None => known(Position::new(0, 5)),
         };
         test.answer(call, answer);
@@ -126,7 +126,7 @@
 fn answer_of_an_earlier_era_is_dropped() {
     let mut test = Test::knowing(Position::new(1, 900));
     test.call();
-    test.absence.show(2, test.now);
+    test.absence.observe_era(2, test.now);
     test.take(Input::Tick);
     let whole = test.call();
     expect_that!(whole.since, none());
@@ -134,7 +134,7 @@
     test.answer(whole, known(Position::new(1, 950)));
     let outdated = |output: &Output| matches!(output, Output::Outdated(Topic::Upstreams));
     expect_that!(test.outputs.iter().any(outdated), eq(true));
-    expect_that!(test.informer.known().list.era, le(1));
+    expect_that!(test.informer.known_state().list.era, le(1));
     expect_that!(test.call().since, none());
 }
 
@@ -146,27 +146,27 @@
 
 #[gtest]
 fn newer_era_that_another_instance_tells_is_entered_and_an_older_one_is_not() {
-    let tells = |era| Heard {
-        word: Some(Word {
-            away_ms: 0,
+    let tells = |era| PeerReport {
+        word: Some(RosterUpdate {
+            outage_ms: 0,
             changes: vec![Change {
-                entry: Entry::Gone,
+                entry: Entry::Deleted,
                 name: "engine".into(),
                 position: Position::new(era, 3),
             }],
             from: Position::new(era, 2),
-            held: false,
-            returning_ms: 0,
-            steady_ms: 0,
+            is_grace_extended: false,
+            grace_ms: 0,
+            uptime_ms: 0,
             to: Position::new(era, 3),
         }),
-        ..Heard::default()
+        ..PeerReport::default()
     };
     let mut test = Test::knowing(Position::new(1, 900));
     test.call();
-    test.take(Input::Heard(tells(0)));
+    test.take(Input::PeerReport(tells(0)));
     expect_that!(test.returned(), eq(false));
-    test.take(Input::Heard(tells(2)));
+    test.take(Input::PeerReport(tells(2)));
     expect_that!(test.returned(), eq(true));
     expect_that!(test.call().since, none());
 }
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -71,7 +71,7 @@
                 let view = View {
                     others: others.filter(|other| other != number).collect(),
                     own: *number,
-                    settles_ms: SETTLES_MS,
+                    convergence_ms: SETTLES_MS,
                 };
                 instance.members.see(view, Time(now));
                 instance.knows = true;
@@ -80,7 +80,7 @@
         }
         let acts = |number: &u64| {
             let instance = &instances[*number as usize].1;
-            let from = instance.members.acts_from(few, 7);
+            let from = instance.members.active_from(few, 7);
             instance.knows && from.is_some_and(|from| Time(now) >= from)
         };
         most = most.max(listed.iter().filter(|number| acts(number)).count());
@@ -108,7 +108,7 @@
             let acts = |own: &u64| {
                 let mut members = Members::default();
                 members.see(View::numbered(*own, instances), Time(1));
-                members.acts_from(few, 7) == Some(Time(1))
+                members.active_from(few, 7) == Some(Time(1))
             };
             let acting = (0..instances).filter(acts).count();
             expect_that!(acting, eq(few.min(instances as usize)));
@@ -123,7 +123,7 @@
         for (own, count) in tasks.iter_mut().enumerate() {
             let mut members = Members::default();
             members.see(View::numbered(own as u64, 30), Time(1));
-            *count += usize::from(members.acts_from(2, topic * 0x9e37_79b9).is_some());
+            *count += usize::from(members.active_from(2, topic * 0x9e37_79b9).is_some());
         }
     }
     expect_that!(tasks.iter().sum::<usize>(), eq(600));
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -4,8 +4,8 @@
     googletest::prelude::*,
     wellplank_core::{
         clock::Time,
-        life::Life,
-        print::Print,
+        fingerprint::RequestFingerprint,
+        incarnation::Incarnation,
         quarantine::{Account, Part},
         settings::Guilt,
     },
@@ -13,8 +13,8 @@
 
 const NOW: Time = Time(1_800_000_000_000);
 
-fn life(number: u64) -> Life {
-    Life {
+fn life(number: u64) -> Incarnation {
+    Incarnation {
         id: number,
         born: 0,
     }
@@ -26,7 +26,7 @@
     for (upstream, prints) in ends {
         for print in *prints {
             let at = NOW.after(*upstream);
-            account.add(life(*upstream), Print(*print), Part::Fresh, at);
+            account.add(life(*upstream), RequestFingerprint(*print), Part::Fresh, at);
         }
     }
     account
@@ -80,10 +80,15 @@
     ];
     let mut account = account(&ends);
     for upstream in [1, 2, 4, 5] {
-        account.add(life(upstream), Print(7), Part::Fresh, NOW.after(upstream));
+        account.add(
+            life(upstream),
+            RequestFingerprint(7),
+            Part::Fresh,
+            NOW.after(upstream),
+        );
     }
     expect_that!(guilty(&account), elements_are![eq(&1), eq(&2), eq(&3)]);
-    account.add(life(7), Print(7), Part::Fresh, NOW.after(7));
+    account.add(life(7), RequestFingerprint(7), Part::Fresh, NOW.after(7));
     expect_that!(
         guilty(&account),
         elements_are![eq(&1), eq(&2), eq(&3), eq(&7)]
@@ -108,7 +113,7 @@
 fn of_two_that_were_there_as_often_who_had_run_for_a_while_is_not_guilty() {
     let mut account = account(&[(1, &[7]), (2, &[7]), (3, &[7])]);
     for upstream in 1..=3 {
-        account.add(life(upstream), Print(8), Part::Ran, NOW);
+        account.add(life(upstream), RequestFingerprint(8), Part::Ran, NOW);
     }
     expect_that!(guilty(&account), elements_are![eq(&7)]);
 }
@@ -116,20 +121,20 @@
 #[gtest]
 fn request_that_was_answered_whole_is_cleared_of_the_ends_before() {
     let mut account = account(&[(1, &[7]), (2, &[7]), (3, &[7])]);
-    let news = account.clear(Print(7));
+    let news = account.clear(RequestFingerprint(7));
     expect_that!(guilty(&account), is_empty());
     expect_that!(news.len(), eq(3));
-    account.add(life(4), Print(7), Part::Fresh, NOW);
-    account.add(life(5), Print(7), Part::Fresh, NOW);
+    account.add(life(4), RequestFingerprint(7), Part::Fresh, NOW);
+    account.add(life(5), RequestFingerprint(7), Part::Fresh, NOW);
     expect_that!(guilty(&account), is_empty());
-    account.add(life(6), Print(7), Part::Fresh, NOW);
+    account.add(life(6), RequestFingerprint(7), Part::Fresh, NOW);
     expect_that!(guilty(&account), elements_are![eq(&7)]);
 }
 
 #[gtest]
 fn what_is_told_again_or_in_another_order_changes_nothing() {
     let mut cleared = account(&[(1, &[7]), (2, &[7, 8])]);
-    let _ = cleared.clear(Print(7));
+    let _ = cleared.clear(RequestFingerprint(7));
     let parts = [
         account(&[(1, &[7, 8])]),
         account(&[(2, &[8]), (3, &[9])]),
@@ -168,7 +173,7 @@
     expect_that!(Account::default().digest(), eq(0));
     let one = account(&[(1, &[7])]);
     let mut cleared = one.clone();
-    let _ = cleared.clear(Print(7));
+    let _ = cleared.clear(RequestFingerprint(7));
     let two = account(&[(1, &[7]), (2, &[7])]);
     expect_that!(one.digest(), not(eq(0)));
     expect_that!(one.digest(), not(eq(two.digest())));
@@ -180,13 +185,18 @@
     let mut account = account(&[(1, &[7]), (2, &[7]), (3, &[7])]);
     for upstream in 10..2_000 {
         let at = NOW.after(upstream);
-        account.add(life(upstream), Print(1_000 + upstream), Part::Fresh, at);
+        account.add(
+            life(upstream),
+            RequestFingerprint(1_000 + upstream),
+            Part::Fresh,
+            at,
+        );
         account.trim(Guilt::Explained, at);
     }
     expect_that!(account.len(), le(512));
     expect_that!(guilty(&account), elements_are![eq(&7)]);
     for print in 0..1_000 {
-        account.add(life(1), Print(print), Part::Fresh, NOW);
+        account.add(life(1), RequestFingerprint(print), Part::Fresh, NOW);
     }
     let there = account.ends().map(|(_, end)| end.there.len());
     expect_that!(there.max(), some(le(64)));
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -358,7 +358,7 @@
     };
     let customer = Customer {
         name: "mill".into(),
-        ..Customer::anyone()
+        ..Customer::anonymous()
     };
     Config {
         customers: [("key".to_owned(), Arc::new(customer))].into(),
@@ -374,8 +374,8 @@
 }
 
 /// The life of an upstream by its number that began at a time.
-pub fn life(upstream: usize, born: u64) -> Life {
-    Life::new(&format!("runner-{upstream}"), born)
+pub fn life(upstream: usize, born: u64) -> Incarnation {
+    Incarnation::new(&format!("runner-{upstream}"), born)
 }
 
 pub fn sighting(upstream: usize, backup: usize) -> Sighting {
--- a/crates/core/tests/relay/limit.rs
+++ b/crates/core/tests/relay/limit.rs
@@ -276,12 +276,15 @@
 
 #[gtest]
 fn instance_that_is_among_the_few_by_a_new_view_waits_until_all_have_it() {
-    let settles_ms = 4 * SECOND;
+    let convergence_ms = 4 * SECOND;
     let (alone, joined) = (View::numbered(0, 1), View::numbered(0, 2));
-    let view = |view: View| View { settles_ms, ..view };
+    let view = |view: View| View {
+        convergence_ms,
+        ..view
+    };
     let mut test = Test::fleet_with_a_limit(1_000, view(alone));
     // Behind its start it does not know yet who else is there.
-    expect_that!(test.press(settles_ms, Limit::Unknown), eq(0));
+    expect_that!(test.press(convergence_ms, Limit::Unknown), eq(0));
     test.press(2 * SECOND, Limit::Unknown);
     expect_that!(test.press(4 * SECOND, Limit::Unknown), ge(3));
     // One that is among the few by both views goes on.
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// The request that the tests ask with a body.
-fn print(body: u64) -> Print {
-    Print::new("mill", body)
+fn print(body: u64) -> RequestFingerprint {
+    RequestFingerprint::new("mill", body)
 }
 
 /// What another instance tells of upstreams that ended under a request.
--- a/crates/node/src/account.rs
+++ b/crates/node/src/account.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use wellplank_core::{
-    print::Print,
+    fingerprint::RequestFingerprint,
     quarantine::{Account, End, Part},
 };
 
@@ -79,7 +79,7 @@
 
 /// Ends as they are told and kept.
 pub(crate) fn encode(account: &Account) -> Vec<peers::End> {
-    let encode = |(life, end): (Life, &End)| {
+    let encode = |(life, end): (Incarnation, &End)| {
         let there = |part: Part| {
             let there = end.there.iter().filter(move |(_, other)| **other == part);
             there.map(|(print, _)| print.0).collect()
@@ -111,7 +111,7 @@
         ];
         for (prints, part) in parts {
             for print in prints {
-                account.add(life, Print(print), part, Time(end.at_ms));
+                account.add(life, RequestFingerprint(print), part, Time(end.at_ms));
             }
         }
     }
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -9,7 +9,7 @@
 
 /// Tries a connection and tells the core task what came of it. Only a refusal says that the process is gone: a link that
 /// carries nothing says the same of one that runs.
-pub(crate) async fn run(driver: Driver, address: SocketAddr, life: Life) {
+pub(crate) async fn run(driver: Driver, address: SocketAddr, life: Incarnation) {
     let tried = timeout(PATIENCE, TcpStream::connect(address)).await;
     let refused = |error: &std::io::Error| {
         let kind = error.kind();
--- a/crates/node/src/claimer.rs
+++ b/crates/node/src/claimer.rs
@@ -57,7 +57,7 @@
     /// Settles claims until the instance ends.
     pub async fn run(self, mut orders: mpsc::UnboundedReceiver<Order>) {
         let leases = Arc::new(committer::Leases::default());
-        let mut committers: HashMap<claim::Place, mpsc::UnboundedSender<Order>> = HashMap::new();
+        let mut committers: HashMap<claim::BucketId, mpsc::UnboundedSender<Order>> = HashMap::new();
         let mut forwarders: HashMap<SocketAddr, mpsc::UnboundedSender<Order>> = HashMap::new();
         while let Some(order) = orders.recv().await {
             let place = order.claim.place();
@@ -85,7 +85,7 @@
 
     fn commit(
         &self,
-        place: claim::Place,
+        place: claim::BucketId,
         leases: &Arc<committer::Leases>,
     ) -> mpsc::UnboundedSender<Order> {
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -95,7 +95,7 @@
             self.store.clone(),
             leases.clone(),
             place,
-            claim::Place::ttl_ms(&self.settings.core),
+            claim::BucketId::ttl_ms(&self.settings.core),
             gap,
         );
         tokio::spawn(committer.run(receiver));
@@ -110,7 +110,7 @@
     }
 
     /// Address of the instance that commits a place; `None` if it is this one.
-    fn owner(&self, place: claim::Place) -> Option<SocketAddr> {
+    fn owner(&self, place: claim::BucketId) -> Option<SocketAddr> {
         let list = self.list.borrow();
         let rank = |line: &&list::Line| {
             upstream::id(&format!(
--- a/crates/node/src/committer.rs
+++ b/crates/node/src/committer.rs
@@ -28,7 +28,7 @@
     driver: Driver,
     gap: Duration,
     leases: Arc<Leases>,
-    place: claim::Place,
+    place: claim::BucketId,
     seen: Seen,
     store: Store,
     ttl_ms: u64,
@@ -56,7 +56,7 @@
         driver: Driver,
         store: Store,
         leases: Arc<Leases>,
-        place: claim::Place,
+        place: claim::BucketId,
         ttl_ms: u64,
         gap: Duration,
     ) -> Self {
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -407,7 +407,7 @@
     }
 
     /// Has other instances told that an upstream is leaving, by the one way that there is to them.
-    fn leaves(&self, life: Life, name: &str) {
+    fn leaves(&self, life: Incarnation, name: &str) {
         self.tell_others(gossip::Told::Leaving(life));
         let now = Instant::now();
         self.leaving.send_modify(|leaving| {
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 use platform::store::{Call, Item, Page, Seen};
-use wellplank_core::{bound::Bound, lesson::Age, line::Line};
+use wellplank_core::{
+    informer_io::Consistency, staleness::StalenessBound, store_calls::StoreCalls,
+};
 
 /// Time in which an answer that has begun must go on: as long as the kernel waits for a silent connection. However
 /// long a list is and however small the link, a piece of it comes sooner.
@@ -23,9 +25,9 @@
 #[derive(Clone)]
 pub(crate) struct Client {
     /// What calls showed of the store; clones of the client share it.
-    absence: Arc<watch::Sender<Absence>>,
+    absence: Arc<watch::Sender<Availability>>,
     address: SocketAddr,
-    bound: Bound,
+    bound: StalenessBound,
     clock: Clock,
     /// Makes and keeps connections; replaced when one of them may say nothing any more.
     http: Arc<watch::Sender<Http>>,
@@ -34,8 +36,13 @@
 
 impl Client {
     /// A client of the platform's store; what it says must be known within `bound`.
-    pub fn new(hosted: settings::Hosted, bound: Bound, clock: Clock, meter: meter::Meter) -> Self {
-        let absence = Absence::new(hosted.heartbeat_ms);
+    pub fn new(
+        hosted: settings::Hosted,
+        bound: StalenessBound,
+        clock: Clock,
+        meter: meter::Meter,
+    ) -> Self {
+        let absence = Availability::new(hosted.heartbeat_ms);
         Self {
             absence: Arc::new(watch::Sender::new(absence)),
             address: hosted.store,
@@ -47,7 +54,7 @@
     }
 
     /// What the ends of all calls showed of the store.
-    pub fn absence(&self) -> watch::Receiver<Absence> {
+    pub fn absence(&self) -> watch::Receiver<Availability> {
         self.absence.subscribe()
     }
 
@@ -60,7 +67,8 @@
     /// Notes that the store has just answered another instance.
     pub fn witness(&self) {
         let now = self.clock.now();
-        self.absence.send_modify(|absence| absence.witness(now));
+        self.absence
+            .send_modify(|absence| absence.record_peer_success(now));
     }
 
     /// Makes a call that does not wait.
@@ -84,7 +92,7 @@
         let answered = matches!(&answer, Ok(answer) if !is_refusal(answer.status));
         self.absence.send_modify(|absence| {
             if let Ok(answer) = &answer
-                && absence.show(answer.era, self.clock.now())
+                && absence.observe_era(answer.era, self.clock.now())
             {
                 let era = answer.era;
                 warn!(era; "the store has come back from an older copy");
@@ -93,8 +101,8 @@
             if !answered {
                 let now = self.clock.now();
                 let is_silent = matches!(answer, Err(Error::Unanswered(_)));
-                absence.fail(if is_silent { due } else { now }, now);
-            } else if let Some(away_ms) = absence.answer(self.clock.now()) {
+                absence.record_failure(if is_silent { due } else { now }, now);
+            } else if let Some(away_ms) = absence.record_success(self.clock.now()) {
                 info!(away_ms; "the store is back");
             }
         });
@@ -142,7 +150,7 @@
         &self,
         prefix: &str,
         patience: Duration,
-        age: Age,
+        age: Consistency,
     ) -> Result<(Vec<Item>, Position), Error> {
         let (mut page, era) = self.page(prefix, None, patience, age).await?;
         let position = Position::new(era, page.revision);
@@ -171,9 +179,9 @@
         prefix: &str,
         after: Option<&str>,
         patience: Duration,
-        age: Age,
+        age: Consistency,
     ) -> Result<(Page, u64), Error> {
-        let call = platform::store::range(prefix, after, age == Age::Seconds);
+        let call = platform::store::range(prefix, after, age == Consistency::Serializable);
         let Answer { body, era, status } = self.call(call, patience).await?;
         if status != StatusCode::OK {
             return Err(Error::Store(format!("reading {prefix}: {status}")));
@@ -241,7 +249,7 @@
 /// Reads of a part of the store by a task of its own, with pauses behind failures.
 pub(crate) struct Link {
     client: Client,
-    line: Line,
+    line: StoreCalls,
     log: Log,
 }
 
@@ -258,7 +266,7 @@
     pub fn new(what: &'static str, client: &Client) -> Self {
         Self {
             client: client.clone(),
-            line: Line::default(),
+            line: StoreCalls::default(),
             log: Log::new(what, client.clock),
         }
     }
@@ -268,7 +276,7 @@
         self.note(error);
         let mut absence = self.client.absence();
         loop {
-            let may = self.line.may(&absence.borrow_and_update());
+            let may = self.line.next_call_at(&absence.borrow_and_update());
             let left = may.since(self.client.clock.now());
             if left == 0 {
                 return;
@@ -284,7 +292,7 @@
 
     /// Notes an answer.
     pub fn good(&mut self) {
-        self.line.answer();
+        self.line.record_success();
         self.log.good();
     }
 
@@ -292,13 +300,14 @@
     pub fn note(&mut self, error: &Error) {
         let absence = *self.client.absence.borrow();
         let now = self.client.clock.now();
-        self.line.fail(false, &absence, self.client.bound, now);
+        self.line
+            .record_failure(false, &absence, self.client.bound, now);
         self.log.bad(error);
     }
 
     /// Time in which the next answer must begin.
     pub fn patience(&self) -> Duration {
-        Duration::from_millis(self.line.patience_ms)
+        Duration::from_millis(self.line.timeout_ms)
     }
 }
 
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -7,10 +7,10 @@
 use wellplank_core::{
     demand::{Demand, Ended},
     gauge::Pace,
-    lesson::{Confirmed, Heard, Known, Topic},
+    informer_io::{Confirmed, KnownState, PeerReport, Topic},
     limit::Rate,
     quarantine::Account,
-    roster::{self, Entry, Word},
+    roster::{self, Entry, RosterUpdate},
 };
 
 /// Bytes of a datagram that are taken in.
@@ -57,20 +57,20 @@
     /// Unplanned ends of upstreams.
     Ends(Account),
     /// An upstream says that it is leaving.
-    Leaving(Life),
+    Leaving(Incarnation),
     /// An upstream named a limit, or names none any more.
     Limit {
         /// The upstream.
-        life: Life,
+        life: Incarnation,
         /// What it takes from all instances together.
         rate: Option<Rate>,
     },
     /// An upstream is lost.
-    Lost(Life),
+    Lost(Incarnation),
     /// How fast the engines of a pool work; it goes along with what is told next.
     Pace(Pace),
     /// Changes of the list of upstreams; told within the data centre.
-    Roster(Word),
+    Roster(RosterUpdate),
     /// A stream is relayed.
     Stream(Sighting),
 }
@@ -84,11 +84,11 @@
     /// The core task.
     pub driver: Driver,
     /// What others let this instance know.
-    pub heard: mpsc::UnboundedSender<Heard>,
+    pub heard: mpsc::UnboundedSender<PeerReport>,
     /// Requests to be refused also after all instances were lost.
     pub kept: mpsc::UnboundedReceiver<keeper::Kept>,
     /// What this instance knows.
-    pub known: watch::Receiver<Known>,
+    pub known: watch::Receiver<KnownState>,
     /// What the instance's link carries, in megabits a second.
     pub link_mbps: f64,
     /// Where datagrams come.
@@ -115,7 +115,7 @@
             curiosity: account::Curiosity::default(),
             driver: self.driver.clone(),
             heard: self.heard,
-            most: Known::default(),
+            most: KnownState::default(),
             socket: socket.clone(),
             streams: streams.clone(),
             tell,
@@ -156,9 +156,9 @@
     account: watch::Receiver<account::Known>,
     curiosity: account::Curiosity,
     driver: Driver,
-    heard: mpsc::UnboundedSender<Heard>,
+    heard: mpsc::UnboundedSender<PeerReport>,
     /// The most that others let this instance know.
-    most: Known,
+    most: KnownState,
     socket: Arc<UdpSocket>,
     streams: watch::Sender<keeper::Streams>,
     /// What other instances are to be told.
@@ -223,7 +223,7 @@
         }
         most.configuration = most.configuration.max(told.configuration);
         most.list = most.list.max(list);
-        let heard = Heard {
+        let heard = PeerReport {
             configuration: told.configuration,
             confirmed,
             list,
@@ -277,7 +277,7 @@
     account: watch::Receiver<account::Known>,
     /// What this instance is asked of each pool.
     demands: BTreeMap<Arc<str>, peers::Demand>,
-    known: watch::Receiver<Known>,
+    known: watch::Receiver<KnownState>,
     link_mbps: f64,
     members: watch::Receiver<Members>,
     /// This instance.
@@ -485,18 +485,18 @@
 }
 
 /// Changes of the list as another instance tells them.
-fn decode_word(word: peers::Roster) -> Word {
-    Word {
-        away_ms: word.away_ms.into(),
+fn decode_word(word: peers::Roster) -> RosterUpdate {
+    RosterUpdate {
+        outage_ms: word.away_ms.into(),
         changes: word
             .entries
             .into_iter()
             .map(|entry| decode_change(entry, word.era))
             .collect(),
         from: Position::new(word.era, word.from),
-        returning_ms: word.returning_ms.into(),
-        held: word.held,
-        steady_ms: word.steady_ms.into(),
+        grace_ms: word.returning_ms.into(),
+        is_grace_extended: word.held,
+        uptime_ms: word.steady_ms.into(),
         to: Position::new(word.era, word.to),
     }
 }
@@ -505,8 +505,8 @@
     let name = entry.name;
     let position = Position::new(era, entry.revision);
     let entry = match entry.address.parse() {
-        _ if entry.gone => Entry::Gone,
-        _ if entry.odd => Entry::Odd,
+        _ if entry.gone => Entry::Deleted,
+        _ if entry.odd => Entry::Invalid,
         Ok(address) => Entry::Listed(event::Listed {
             address,
             born: entry.born,
@@ -520,7 +520,7 @@
         }),
         Err(error) => {
             warn!("{name}: `{}` is no address: {error}", entry.address);
-            Entry::Odd
+            Entry::Invalid
         }
     };
     roster::Change {
@@ -530,15 +530,15 @@
     }
 }
 
-fn encode_word(word: Word) -> peers::Roster {
+fn encode_word(word: RosterUpdate) -> peers::Roster {
     peers::Roster {
-        away_ms: word.away_ms as u32,
+        away_ms: word.outage_ms as u32,
         entries: word.changes.into_iter().map(encode_change).collect(),
         era: word.to.era,
         from: word.from.revision,
-        returning_ms: word.returning_ms as u32,
-        held: word.held,
-        steady_ms: word.steady_ms as u32,
+        returning_ms: word.grace_ms as u32,
+        held: word.is_grace_extended,
+        steady_ms: word.uptime_ms as u32,
         to: word.to.revision,
     }
 }
@@ -547,7 +547,7 @@
 fn encode_change(change: roster::Change) -> peers::Entry {
     let (name, revision) = (change.name, change.position.revision);
     match change.entry {
-        Entry::Gone => peers::Entry {
+        Entry::Deleted => peers::Entry {
             gone: true,
             name,
             revision,
@@ -567,7 +567,7 @@
             slots: listed.slots,
             version: listed.version,
         },
-        Entry::Odd => peers::Entry {
+        Entry::Invalid => peers::Entry {
             name,
             odd: true,
             revision,
@@ -577,13 +577,13 @@
 }
 
 /// A life as another instance names it.
-pub(crate) fn decode_life(life: peers::Life) -> Life {
+pub(crate) fn decode_life(life: peers::Life) -> Incarnation {
     let peers::Life { born, id } = life;
-    Life { id, born }
+    Incarnation { id, born }
 }
 
-pub(crate) fn encode_life(life: Life) -> peers::Life {
-    let Life { id, born } = life;
+pub(crate) fn encode_life(life: Incarnation) -> peers::Life {
+    let Incarnation { id, born } = life;
     peers::Life { born, id }
 }
 
--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -3,7 +3,7 @@
 use super::*;
 use salvo::fuse::{FuseAction, FuseConfig, FuseInfo};
 use settings::Hosted;
-use wellplank_core::{bound::Bound, lesson::Known};
+use wellplank_core::{informer_io::KnownState, staleness::StalenessBound};
 
 /// Time between two looks at whether a stopping instance may leave.
 const LOOK: Duration = Duration::from_millis(50);
@@ -21,7 +21,7 @@
 
 /// The endpoint by which the platform learns whether the instance is ready.
 struct Ready {
-    known: watch::Receiver<Known>,
+    known: watch::Receiver<KnownState>,
     stopping: relay::Stopping,
 }
 
@@ -76,13 +76,13 @@
         let (account, ends_known) = watch::channel(account::Known::default());
         let (heard, hearing) = mpsc::unbounded_channel();
         let (kept, keeping) = mpsc::unbounded_channel();
-        let (known, own) = watch::channel(Known::default());
+        let (known, own) = watch::channel(KnownState::default());
         let (limits, limited) = watch::channel(platform::configuration::Limits::default());
         let (stop, stopping) = watch::channel(None);
         let (told, telling) = mpsc::unbounded_channel();
         let telling_others = told.clone();
         let meter = meter::Meter::new(settings.metrics);
-        let bound = Bound {
+        let bound = StalenessBound {
             bound_ms: hosted.apply_ms.min(hosted.leave_ms),
         };
         let client = feed::Client::new(hosted, bound, clock, meter.clone());
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -4,7 +4,7 @@
 use super::*;
 use members::{Member, Members, Own};
 use rand::RngExt;
-use wellplank_core::{print::Print, quarantine::Account};
+use wellplank_core::{fingerprint::RequestFingerprint, quarantine::Account};
 
 /// Start of the keys under which streams are kept.
 const STREAMS: &str = "wellplank/streams/";
@@ -98,13 +98,13 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Kept {
     /// The ends that it is guilty by.
-    Ends(Print, Account),
+    Ends(RequestFingerprint, Account),
     /// It is guilty no longer.
-    Nothing(Print),
+    Nothing(RequestFingerprint),
 }
 
 impl Kept {
-    fn print(&self) -> Print {
+    fn print(&self) -> RequestFingerprint {
         match self {
             Self::Ends(print, _) | Self::Nothing(print) => *print,
         }
@@ -139,7 +139,7 @@
     pub own: Own,
     /// Requests that this instance wrote since they end their upstreams: a store that comes back from an older copy may lack
     /// them.
-    pub quarantined: BTreeMap<Print, Kept>,
+    pub quarantined: BTreeMap<RequestFingerprint, Kept>,
     /// Streams that instances told of, this one's with them.
     pub streams: watch::Receiver<Streams>,
 }
@@ -202,7 +202,7 @@
     }
 
     /// Writes what is to be kept of requests that end their upstreams; what can not be written now is tried again.
-    async fn write(&mut self, unwritten: &mut BTreeMap<Print, Kept>) {
+    async fn write(&mut self, unwritten: &mut BTreeMap<RequestFingerprint, Kept>) {
         while let Some((print, kept)) = unwritten.pop_first() {
             let written = match self.client.call(kept.call(), PATIENCE).await {
                 Ok(answer) if answer.status == StatusCode::OK => {
@@ -219,7 +219,7 @@
     }
 
     /// Remembers what is written, to write it again.
-    fn note_kept(&mut self, print: Print, kept: Kept) {
+    fn note_kept(&mut self, print: RequestFingerprint, kept: Kept) {
         match kept {
             Kept::Ends(..) => self.quarantined.insert(print, kept),
             Kept::Nothing(_) => self.quarantined.remove(&print),
@@ -230,7 +230,7 @@
     async fn recall_ends(&self) {
         let mut link = feed::Link::new("quarantine", &self.client);
         let items = loop {
-            let age = wellplank_core::lesson::Age::Seconds;
+            let age = wellplank_core::informer_io::Consistency::Serializable;
             let read = self.client.items(QUARANTINE, link.patience(), age);
             match read.await {
                 Ok((items, _)) => break items,
@@ -259,7 +259,7 @@
             let read = self.client.items(
                 STREAMS,
                 link.patience(),
-                wellplank_core::lesson::Age::Seconds,
+                wellplank_core::informer_io::Consistency::Serializable,
             );
             match read.await {
                 Ok((items, _)) => break items,
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/learner.rs
@@ -7,10 +7,12 @@
 use platform::store::{Change, Item};
 use tokio::task::AbortHandle;
 use wellplank_core::{
-    bound::Bound,
     informer::Informer,
-    lesson::{Answer, Call, Content, Heard, Input, Known, Output, Topic, Why},
+    informer_io::{
+        Answer, Call, CancelReason, Content, Input, KnownState, Output, PeerReport, Topic,
+    },
     roster::{self, Entry},
+    staleness::StalenessBound,
 };
 
 /// The longest time between two looks at what is due, though nothing is.
@@ -22,7 +24,7 @@
 /// What the task needs.
 pub(crate) struct Learner {
     /// Time within which what the store says must be known.
-    pub bound: Bound,
+    pub bound: StalenessBound,
     /// Client of the store.
     pub client: Client,
     /// Clock of the instance.
@@ -30,7 +32,7 @@
     /// The core task.
     pub driver: Driver,
     /// What this instance knows.
-    pub known: watch::Sender<Known>,
+    pub known: watch::Sender<KnownState>,
     /// Time in which a leaving upstream must get no more work, in milliseconds.
     pub leave_ms: u64,
     /// Limits on what callers send.
@@ -77,7 +79,7 @@
     }
 
     /// Serves for ever; `heard` is what other instances let this one know.
-    pub async fn run(self, mut heard: mpsc::UnboundedReceiver<Heard>) {
+    pub async fn run(self, mut heard: mpsc::UnboundedReceiver<PeerReport>) {
         let (ends, mut ended) = mpsc::unbounded_channel();
         let mut absence = self.client.absence();
         let mut members = self.members.clone();
@@ -113,24 +115,24 @@
     /// Time until something is due.
     fn left(&self) -> Duration {
         let now = self.learner.clock.now();
-        let left = self.informer.wake().map(|wake| wake.since(now));
+        let left = self.informer.next_wake().map(|wake| wake.since(now));
         left.map_or(LOOK, Duration::from_millis).min(LOOK)
     }
 
     /// What the informer takes in of what another instance let this one know.
-    fn hear(&self, heard: Heard) -> Input {
+    fn hear(&self, heard: PeerReport) -> Input {
         if heard.confirmed.is_some() {
             self.learner.client.witness();
         }
-        Input::Heard(heard)
+        Input::PeerReport(heard)
     }
 
     /// Has the informer take in what happened, and does what it wants.
-    fn take(&mut self, input: Input, absence: Absence) {
+    fn take(&mut self, input: Input, absence: Availability) {
         let now = self.learner.clock.now();
-        let outputs = self.informer.take(input, absence, now);
+        let outputs = self.informer.handle(input, absence, now);
         // First, since what is told of it to others goes with what is known.
-        let known = self.informer.known();
+        let known = self.informer.known_state();
         self.learner.known.send_if_modified(|before| {
             let changed = *before != known;
             *before = known;
@@ -143,7 +145,7 @@
 
     fn perform(&mut self, output: Output, now: Time) {
         match output {
-            Output::Ask(call) => self.ask(call),
+            Output::Call(call) => self.ask(call),
             Output::Configuration(config) => {
                 let (revision, routes) = (config.revision, config.routes.len());
                 let (limits, store_revision) = self.limits;
@@ -155,7 +157,7 @@
             Output::Confirm(confirmed) => {
                 drop(self.learner.told.send(gossip::Told::Confirmed(confirmed)));
             }
-            Output::Drop(call, why) => self.drop(call, why),
+            Output::Cancel(call, why) => self.drop(call, why),
             Output::Era(era) => {
                 info!(era; "what is known of the store is read again: it came back from an older copy");
             }
@@ -163,12 +165,16 @@
                 self.learner.driver.count(Counter::StoreOutdated);
                 debug!("{} of an earlier era of the store is dropped", what(topic));
             }
-            Output::Lapsing(upstream, believed_ms) => {
+            Output::MissingEntry(upstream, believed_ms) => {
                 info!(believed_ms, upstream; "an entry that is missing may have lapsed");
             }
             // The task that tells ends only with the instance.
-            Output::Tell(word) => drop(self.learner.told.send(gossip::Told::Roster(word))),
-            Output::TellConfiguration => drop(self.learner.told.send(gossip::Told::Configuration)),
+            Output::AnnounceRoster(word) => {
+                drop(self.learner.told.send(gossip::Told::Roster(word)))
+            }
+            Output::AnnounceConfiguration => {
+                drop(self.learner.told.send(gossip::Told::Configuration))
+            }
             Output::Upstreams(listed) => {
                 let listed = Some(listed);
                 self.learner
@@ -179,8 +185,11 @@
     }
 
     fn ask(&mut self, call: Call) {
-        if call.again {
-            let Call { patience_ms, .. } = call;
+        if call.is_retry {
+            let Call {
+                timeout_ms: patience_ms,
+                ..
+            } = call;
             let since = call.since.map(|since| since.to_string());
             info!(patience_ms, since; "asking the store again for {}", what(call.topic));
         }
@@ -195,15 +204,17 @@
     }
 
     /// Ends a call that is out.
-    fn drop(&mut self, call: Call, why: Why) {
+    fn drop(&mut self, call: Call, why: CancelReason) {
         if let Some(asking) = self.calls.remove(&call.id) {
             asking.abort();
         }
         let error = match why {
-            Why::Behind => Some("other instances know more"),
-            Why::Overtaken => Some("it answers other calls again"),
-            Why::Unconfirmed => None,
-            Why::Lapse | Why::Returned | Why::Role => return,
+            CancelReason::PeersAhead => Some("other instances know more"),
+            CancelReason::Stalled => Some("it answers other calls again"),
+            CancelReason::Unconfirmed => None,
+            CancelReason::EntryExpired
+            | CancelReason::StoreRestored
+            | CancelReason::RoleChanged => return,
         };
         self.learner.client.renew();
         if let Some(error) = error {
@@ -244,7 +255,7 @@
             Brought::Nothing => {
                 let since = call.since.map(|since| since.to_string());
                 info!(since; "the store has forgotten the changes of {}", what(call.topic));
-                return Input::Answered(call.id, Answer::Forgotten);
+                return Input::Answered(call.id, Answer::Compacted);
             }
         };
         let content = match call.topic {
@@ -256,13 +267,13 @@
                 Content::Upstreams(changes.collect())
             }
         };
-        Input::Answered(call.id, Answer::Known(content, position))
+        Input::Answered(call.id, Answer::Complete(content, position))
     }
 
     /// A change of the list in an era as the core takes it.
     fn change(&self, change: &Change, era: u64) -> roster::Change {
         let (entry, key, revision) = match change {
-            Change::Removed { key, revision } => (Entry::Gone, key, *revision),
+            Change::Removed { key, revision } => (Entry::Deleted, key, *revision),
             Change::Written(item) => (self.entry(item, era), &item.key, item.revision),
         };
         roster::Change {
@@ -280,7 +291,7 @@
                 let reason = error.reason();
                 warn!(reason; "an entry names no upstream to use: {}", shortened(&error));
                 self.learner.driver.count(Counter::EntryOdd(reason));
-                Entry::Odd
+                Entry::Invalid
             }
         }
     }
@@ -319,7 +330,7 @@
         Topic::Configuration => platform::configuration::KEY,
         Topic::Upstreams => platform::upstream::PREFIX,
     };
-    let patience = Duration::from_millis(call.patience_ms);
+    let patience = Duration::from_millis(call.timeout_ms);
     let Some(since) = call.since else {
         let (items, position) = client.items(prefix, patience, call.age).await?;
         return Ok(Brought::All(items, position));
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 use wellplank_core::{
-    lesson::Age,
+    informer_io::Consistency,
     members::View,
-    role::{Role, Turn},
+    role::{Role, WatcherRank},
 };
 
 /// Start of the keys under which instances enter themselves.
@@ -78,41 +78,41 @@
         View {
             others: members.keys().map(|name| upstream::id(name)).collect(),
             own: upstream::id(&self.name),
-            settles_ms: (look(members.len()) + READ_AGE).as_millis() as u64,
+            convergence_ms: (look(members.len()) + READ_AGE).as_millis() as u64,
         }
     }
 
     /// What it does for its data centre.
     pub fn role(&self, members: &Members) -> Role {
         if members.len() < FEW {
-            return Role::Alone;
+            return Role::Independent;
         }
         let near = members
             .iter()
             .filter(|(_, member)| member.data_centre == self.data_centre);
         match self.ranked_before(near.map(|(name, _)| name)) {
             0 => Role::Watcher,
-            1 => Role::Deputy,
+            1 => Role::Standby,
             _ => Role::Follower,
         }
     }
 
     /// Its place among those that watch the store for themselves: all of a small fleet, else the first of each data
     /// centre.
-    pub fn turn(&self, members: &Members) -> Turn {
+    pub fn turn(&self, members: &Members) -> WatcherRank {
         match self.role(members) {
-            Role::Alone => Turn {
+            Role::Independent => WatcherRank {
                 count: members.len() + 1,
                 rank: self.ranked_before(members.keys()),
             },
             Role::Watcher => {
                 let watchers = self.watchers(members);
-                Turn {
+                WatcherRank {
                     count: watchers.len() + 1,
                     rank: self.ranked_before(watchers.into_iter()),
                 }
             }
-            Role::Deputy | Role::Follower => Turn::default(),
+            Role::Standby | Role::Follower => WatcherRank::default(),
         }
     }
 
@@ -150,7 +150,10 @@
     let mut era = None;
     let mut believed_until = begun;
     loop {
-        match client.items(PREFIX, link.patience(), Age::Seconds).await {
+        match client
+            .items(PREFIX, link.patience(), Consistency::Serializable)
+            .await
+        {
             Ok((items, _)) => {
                 link.good();
                 let mut members = decode(&items, &own);
--- a/crates/node/src/note.rs
+++ b/crates/node/src/note.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use wellplank_core::{
+    fingerprint::RequestFingerprint,
     limit::Limit,
     notice::{Notice, Rest},
-    print::Print,
     quarantine::Account,
 };
 
@@ -33,7 +33,7 @@
 
 /// Writes the line of a request that is refused from now on, with the upstreams that ended under it, by the hashes of their
 /// names, and whether this instance saw one of them end.
-pub(crate) fn quarantine(print: Print, ends: &Account, own: bool) {
+pub(crate) fn quarantine(print: RequestFingerprint, ends: &Account, own: bool) {
     let fingerprint = print.to_string();
     let lives = ends.ends();
     let upstreams: Vec<String> = lives.map(|(life, _)| life.to_string()).collect();
@@ -42,7 +42,7 @@
 }
 
 /// Writes the line of a request that is no longer refused.
-pub(crate) fn free(print: Print) {
+pub(crate) fn free(print: RequestFingerprint) {
     let fingerprint = print.to_string();
     info!(fingerprint; "no longer quarantined");
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -57,21 +57,21 @@
 #[gtest]
 fn in_a_small_fleet_each_watches_for_itself() {
     let test = Test::new(7);
-    expect_that!(test.count(Role::Alone), eq(7));
+    expect_that!(test.count(Role::Independent), eq(7));
 }
 
 #[gtest]
 fn in_a_large_fleet_one_of_each_data_centre_watches_and_one_stands_by() {
     let test = Test::new(60);
     expect_that!(test.count(Role::Watcher), eq(DATA_CENTRES));
-    expect_that!(test.count(Role::Deputy), eq(DATA_CENTRES));
+    expect_that!(test.count(Role::Standby), eq(DATA_CENTRES));
     expect_that!(test.count(Role::Follower), eq(60 - 2 * DATA_CENTRES));
 }
 
 #[gtest]
 fn instance_that_knows_nobody_is_on_its_own() {
     let test = Test::new(60);
-    expect_that!(test.own(3).role(&Members::new()), eq(Role::Alone));
+    expect_that!(test.own(3).role(&Members::new()), eq(Role::Independent));
     expect_that!(test.own(3).keeps(&Members::new()), eq(true));
 }
 
--- a/crates/standin/src/ask.rs
+++ b/crates/standin/src/ask.rs
@@ -15,7 +15,7 @@
 /// A configuration with one route, all of which goes to a service.
 pub(crate) fn configuration(service: Service) -> Config {
     Config {
-        customers: [(KEY.to_owned(), Arc::new(Customer::anyone()))].into(),
+        customers: [(KEY.to_owned(), Arc::new(Customer::anonymous()))].into(),
         revision: 1,
         routes: vec![Route {
             host: HOST.into(),
--- a/crates/standin/src/departure.rs
+++ b/crates/standin/src/departure.rs
@@ -6,7 +6,7 @@
 //! held up is not late.
 
 use super::*;
-use wellplank_core::{absence::Span, clock::Time, life::Life};
+use wellplank_core::{availability::Span, clock::Time, incarnation::Incarnation};
 
 /// What a fault disturbs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -27,7 +27,7 @@
     /// Instance that sent it.
     pub instance: usize,
     /// Life of the upstream that it reached.
-    pub life: Life,
+    pub life: Incarnation,
     /// Place of the upstream, by which its links are known.
     pub link: usize,
     /// Name of its run.
@@ -49,7 +49,7 @@
     disturbed: Vec<(Scope, Span)>,
     rule: Rule,
     /// Spans in which the store says that lives are not to be given work.
-    taken: BTreeMap<Life, Vec<Span>>,
+    taken: BTreeMap<Incarnation, Vec<Span>>,
 }
 
 impl Record {
@@ -69,7 +69,7 @@
 
     /// Notes that the store took the word of an upstream that it leaves, or the end of its entry, or an entry that
     /// names no upstream to use.
-    pub fn take(&mut self, life: Life, now: Time) {
+    pub fn take(&mut self, life: Incarnation, now: Time) {
         let span = Span {
             from: now,
             to: Time(u64::MAX),
@@ -78,7 +78,7 @@
     }
 
     /// Notes that the store lost the word of a life, coming back from an older copy: it binds from then on only.
-    pub fn lose(&mut self, life: Life, binds: Time) {
+    pub fn lose(&mut self, life: Incarnation, binds: Time) {
         let spans = self.taken.entry(life).or_default();
         let open = spans.iter_mut().filter(|span| span.to == Time(u64::MAX));
         for span in open {
@@ -87,7 +87,7 @@
     }
 
     /// Notes that the store took a good entry of it again.
-    pub fn take_back(&mut self, life: Life, now: Time) {
+    pub fn take_back(&mut self, life: Incarnation, now: Time) {
         if let Some(span) = self.taken.entry(life).or_default().last_mut() {
             span.to = span.to.min(now);
         }
--- a/crates/standin/src/learning.rs
+++ b/crates/standin/src/learning.rs
@@ -7,14 +7,14 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 use trial::{Act, Failing, Outcome, Run};
 use wellplank_core::{
-    absence::Absence,
-    bound::Bound,
+    availability::Availability,
     clock::Time,
     event::Listed,
     informer::Informer,
-    lesson::{Answer, Call, Confirmed, Heard, Input, Output},
+    informer_io::{Answer, Call, Confirmed, Input, Output, PeerReport},
     position::Position,
-    roster::Word,
+    roster::RosterUpdate,
+    staleness::StalenessBound,
 };
 use wellplank_node::members::{Member, Members, Own};
 
@@ -70,7 +70,7 @@
 
 /// An instance.
 struct Node {
-    absence: Absence,
+    absence: Availability,
     calls: BTreeMap<u64, Call>,
     /// Until when it is entered in the store.
     entered_until: Time,
@@ -124,7 +124,7 @@
     /// How much it knows.
     Known,
     /// Changes of the list.
-    Word(Word),
+    Word(RosterUpdate),
 }
 
 /// How a call of an instance ended.
@@ -151,7 +151,7 @@
     Deliver(usize, u32, u64, Option<Answer>),
     Expire(usize, u32, u64),
     Gossip(usize, u32),
-    Hear(usize, u32, Heard),
+    Hear(usize, u32, PeerReport),
     Look(usize, u32),
     Looked(usize, u32, Ended),
     Remove(usize),
@@ -219,7 +219,7 @@
             let name = format!("instance-{index}");
             let data_centre = format!("dc-{}", index % run.data_centres.max(1));
             Node {
-                absence: Absence::new(HEARTBEAT_MS),
+                absence: Availability::new(HEARTBEAT_MS),
                 calls: BTreeMap::new(),
                 entered_until: Time::default(),
                 frozen_until: Time::default(),
@@ -327,9 +327,9 @@
             Event::Hear(node, _, heard) => {
                 if self.nodes[node].isolated_until <= self.now {
                     if heard.confirmed.is_some() {
-                        self.nodes[node].absence.witness(self.now);
+                        self.nodes[node].absence.record_peer_success(self.now);
                     }
-                    self.take(node, Input::Heard(heard));
+                    self.take(node, Input::PeerReport(heard));
                 }
             }
             Event::Look(node, life) => self.other_call(node, life, Event::Looked),
@@ -482,8 +482,8 @@
             return;
         }
         let era = match &answer {
-            Answer::Known(_, position) => position.era,
-            Answer::Forgotten => self.registry.era,
+            Answer::Complete(_, position) => position.era,
+            Answer::Compacted => self.registry.era,
         };
         self.note(node, Ended::Answered, era);
         self.take(node, Input::Answered(id, answer));
@@ -491,7 +491,7 @@
 
     /// The time of a call of an instance has run out.
     fn expire(&mut self, node: usize, id: u64) {
-        let patience_ms = self.nodes[node].calls.get(&id).map(|call| call.patience_ms);
+        let patience_ms = self.nodes[node].calls.get(&id).map(|call| call.timeout_ms);
         self.fail(node, id, Ended::Unanswered(patience_ms.unwrap_or_default()));
     }
 
@@ -509,11 +509,11 @@
         let absence = &mut self.nodes[node].absence;
         match ended {
             Ended::Answered => {
-                absence.show(era, self.now);
-                absence.answer(self.now);
+                absence.observe_era(era, self.now);
+                absence.record_success(self.now);
             }
-            Ended::Refused => absence.fail(self.now, self.now),
-            Ended::Unanswered(millis) => absence.fail(self.now.before(millis), self.now),
+            Ended::Refused => absence.record_failure(self.now, self.now),
+            Ended::Unanswered(millis) => absence.record_failure(self.now.before(millis), self.now),
         }
     }
 
@@ -525,8 +525,8 @@
         let Some(informer) = &mut taker.informer else {
             return;
         };
-        let outputs = informer.take(input, absence, now);
-        let wake = informer.wake();
+        let outputs = informer.handle(input, absence, now);
+        let wake = informer.next_wake();
         let life = taker.life;
         for output in outputs {
             self.perform(node, life, output);
@@ -549,24 +549,24 @@
 
     fn perform(&mut self, node: usize, life: u32, output: Output) {
         match output {
-            Output::Ask(call) => {
+            Output::Call(call) => {
                 self.calls += 1;
                 self.observer.called(node, self.now);
                 self.nodes[node].calls.insert(call.id, call);
                 self.later(1, Event::Arrive(node, life, call));
-                let expires = call.wait_ms + call.patience_ms;
+                let expires = call.wait_ms + call.timeout_ms;
                 self.later(expires, Event::Expire(node, life, call.id));
             }
             Output::Configuration(config) => {
                 self.observer.in_force(node, config.revision, self.now);
             }
             Output::Confirm(confirmed) => self.confirm(node, confirmed),
-            Output::Drop(call, _) => {
+            Output::Cancel(call, _) => {
                 self.nodes[node].calls.remove(&call.id);
             }
-            Output::Era(_) | Output::Lapsing(..) | Output::Outdated(_) => {}
-            Output::Tell(word) => self.tell(node, &Told::Word(word)),
-            Output::TellConfiguration => self.tell(node, &Told::Known),
+            Output::Era(_) | Output::MissingEntry(..) | Output::Outdated(_) => {}
+            Output::AnnounceRoster(word) => self.tell(node, &Told::Word(word)),
+            Output::AnnounceConfiguration => self.tell(node, &Told::Known),
             Output::Upstreams(listed) => {
                 let listed = listed.into_iter().map(|one| (label(&one), one.leaving));
                 self.observer.listed(node, listed.collect(), self.now);
@@ -604,7 +604,7 @@
         let Some(informer) = &self.nodes[node].informer else {
             return;
         };
-        let known = informer.known();
+        let known = informer.known_state();
         if self.nodes[node].isolated_until > self.now {
             return;
         }
@@ -616,7 +616,7 @@
             if self.random.random_range(0..100) < lost {
                 continue;
             }
-            let heard = Heard {
+            let heard = PeerReport {
                 configuration: known.configuration,
                 confirmed,
                 list: known.list,
@@ -708,12 +708,12 @@
     }
 
     fn start(&mut self, node: usize) {
-        let bound = Bound {
+        let bound = StalenessBound {
             bound_ms: self.rules.apply_ms.min(self.rules.leave_ms),
         };
         let now = self.now;
         let starting = &mut self.nodes[node];
-        starting.absence = Absence::new(HEARTBEAT_MS);
+        starting.absence = Availability::new(HEARTBEAT_MS);
         starting.calls.clear();
         starting.knows = 0;
         starting.life += 1;
--- a/crates/standin/src/leaving.rs
+++ b/crates/standin/src/leaving.rs
@@ -10,7 +10,7 @@
 use said::{Refusal, Said};
 use shelf::Copy;
 use soak::{Outcome, Plan, Soak};
-use wellplank_core::{absence::Span, clock::Time, life::Life};
+use wellplank_core::{availability::Span, clock::Time, incarnation::Incarnation};
 use worker::{Mode, Remark};
 
 /// Pause of a caller between two requests in a fleet of few instances; in a larger one as many requests come in all.
@@ -308,7 +308,7 @@
         let now = self.now();
         let lapsed = now.after(LAPSE_MS);
         let entries = copy.values("servers/");
-        let lives: Vec<Life> = (0..self.soak.seats.len())
+        let lives: Vec<Incarnation> = (0..self.soak.seats.len())
             .map(|seat| self.soak.life(seat))
             .collect();
         for (seat, life) in lives.into_iter().enumerate() {
@@ -587,7 +587,7 @@
         let arrival = Arrival {
             at: self.time(at),
             instance,
-            life: Life::new(worker, born),
+            life: Incarnation::new(worker, born),
             link: soak::seat_of(worker),
             run: run.to_owned(),
         };
--- a/crates/standin/src/limited.rs
+++ b/crates/standin/src/limited.rs
@@ -4,7 +4,7 @@
 use departure::Arrival;
 use wellplank_core::{
     clock::Time,
-    life::Life,
+    incarnation::Incarnation,
     limit::{Limit, Rate},
 };
 
@@ -74,7 +74,7 @@
 
 /// What reached upstreams between real processes while they named limits.
 #[derive(Debug, Default)]
-pub struct Record(HashMap<Life, (&'static str, Limited)>);
+pub struct Record(HashMap<Incarnation, (&'static str, Limited)>);
 
 impl Record {
     /// When an upstream that names a limit had first told an instance of it.
--- a/crates/standin/src/placing.rs
+++ b/crates/standin/src/placing.rs
@@ -9,7 +9,7 @@
     core::Core,
     effect::{Effect, Sending},
     event::{Event, Failure, Listed, Submission},
-    life::Life,
+    incarnation::Incarnation,
     members::View,
     position::Position,
     request::{Caller, Relay},
@@ -64,13 +64,16 @@
 fn sighting(prompt: u64, upstreams: usize) -> Sighting {
     let at = prompt as usize % upstreams;
     Sighting {
-        backup: Some(Life::new(&format!("engine-{}", (at + 1) % upstreams), 0)),
+        backup: Some(Incarnation::new(
+            &format!("engine-{}", (at + 1) % upstreams),
+            0,
+        )),
         pool: String::new(),
         prompt,
         run: format!("run-{prompt}"),
         stage: Stage::Started,
         tokens: TOKENS,
-        upstream: Some(Life::new(&format!("engine-{at}"), 0)),
+        upstream: Some(Incarnation::new(&format!("engine-{at}"), 0)),
     }
 }
 
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -6,7 +6,7 @@
     clock::Time,
     config::Config,
     event::Listed,
-    lesson::{Age, Answer, Call, Content, Topic},
+    informer_io::{Answer, Call, Consistency, Content, Topic},
     position::Position,
     roster::{Change, Entry},
 };
@@ -112,7 +112,7 @@
     /// Whether another writer's entry stands under a name.
     pub fn is_odd(&self, name: &str) -> bool {
         let item = self.items.get(name);
-        item.is_some_and(|item| item.entry == Entry::Odd)
+        item.is_some_and(|item| item.entry == Entry::Invalid)
     }
 
     /// How many configurations it has had.
@@ -141,7 +141,7 @@
 
     /// Has another writer write over an upstream's entry.
     pub fn spoil(&mut self, name: &str, lapses: Time) {
-        self.write(name, Entry::Odd, lapses);
+        self.write(name, Entry::Invalid, lapses);
     }
 
     fn write(&mut self, name: &str, entry: Entry, lapses: Time) {
@@ -198,7 +198,7 @@
         }
         self.revision += 1;
         let change = Change {
-            entry: Entry::Gone,
+            entry: Entry::Deleted,
             name: name.to_owned(),
             position: self.position(),
         };
@@ -208,11 +208,11 @@
     /// The answer to a call; `None` while a waiting read sees no change.
     pub fn answer(&self, call: &Call, now: Time, over: bool) -> Option<Answer> {
         let Some(since) = call.since else {
-            return Some(Answer::Known(self.all(call, now), self.position()));
+            return Some(Answer::Complete(self.all(call, now), self.position()));
         };
         let since = since.revision;
         if since < self.oldest || since > self.revision {
-            return Some(Answer::Forgotten);
+            return Some(Answer::Compacted);
         }
         let behind = self
             .history
@@ -236,15 +236,15 @@
                 (Content::Upstreams(changes), changed)
             }
         };
-        (changed || over).then_some(Answer::Known(content, self.position()))
+        (changed || over).then_some(Answer::Complete(content, self.position()))
     }
 
     fn all(&self, call: &Call, now: Time) -> Content {
         match call.topic {
             Topic::Configuration => {
                 let old = match call.age {
-                    Age::Newest => 0,
-                    Age::Seconds => OLD_MS,
+                    Consistency::Linearizable => 0,
+                    Consistency::Serializable => OLD_MS,
                 };
                 let written = |(at, _, _): &&(Time, u64, u64)| at.after(old) <= now;
                 let newest = self.configurations.iter().rev().find(written);
--- a/crates/standin/src/relaying.rs
+++ b/crates/standin/src/relaying.rs
@@ -14,8 +14,8 @@
     counter::{Counter, Timing},
     effect::{self, Effect, Sending},
     event::{Event, Failure},
+    incarnation::Incarnation,
     kind::Ran,
-    life::Life,
     members::View,
     quarantine::Account,
     request::Caller as Connection,
@@ -233,7 +233,7 @@
     };
     let customer = Customer {
         name: "mill".into(),
-        ..Customer::anyone()
+        ..Customer::anonymous()
     };
     Config {
         customers: [("key".to_owned(), Arc::new(customer))].into(),
@@ -468,7 +468,7 @@
             Effect::Quarantine(effect::Quarantine::Check { address, life }) => {
                 let upstream = &self.upstreams[index(address)];
                 let name = format!("{}-{}", index(address), upstream.life);
-                let runs = upstream.mode != Mode::Down && Life::new(&name, 0) == life;
+                let runs = upstream.mode != Mode::Down && Incarnation::new(&name, 0) == life;
                 let ended = !runs;
                 self.event_soon(instance, Event::Checked { ended, life });
             }
--- a/crates/standin/src/said.rs
+++ b/crates/standin/src/said.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use departure::{Arrival, Scope};
-use wellplank_core::{absence::Span, clock::Time, life::Life};
+use wellplank_core::{availability::Span, clock::Time, incarnation::Incarnation};
 
 /// Time behind a word of leaving within which requests of callers may still be sent, in milliseconds.
 const LEAVE_MS: u64 = 2_000;
@@ -33,7 +33,7 @@
     /// Faults of links to upstreams, and stops of instances.
     disturbed: Vec<(Scope, Span)>,
     /// When an instance first passed on that a life leaves.
-    leaving: BTreeMap<(usize, Life), Time>,
+    leaving: BTreeMap<(usize, Incarnation), Time>,
 }
 
 impl Said {
@@ -43,7 +43,7 @@
     }
 
     /// Notes that an instance has passed on an answer that says that its upstream leaves.
-    pub fn hear(&mut self, instance: usize, life: Life, at: Time) {
+    pub fn hear(&mut self, instance: usize, life: Incarnation, at: Time) {
         let first = self.leaving.entry((instance, life)).or_insert(at);
         *first = at.min(*first);
     }
--- a/crates/standin/src/soak.rs
+++ b/crates/standin/src/soak.rs
@@ -19,7 +19,7 @@
     },
 };
 use tokio::task::JoinHandle;
-use wellplank_core::life::Life;
+use wellplank_core::incarnation::Incarnation;
 use worker::{Ledger, Mode, Worker};
 
 /// Time between two faults, at most.
@@ -74,7 +74,7 @@
     refused: Arc<Mutex<Vec<String>>>,
     requests: Arc<AtomicUsize>,
     /// Lives that said beside an answer that they leave, the instances that passed this on, and when.
-    said: Arc<Mutex<Vec<(usize, Life, Instant)>>>,
+    said: Arc<Mutex<Vec<(usize, Incarnation, Instant)>>>,
     /// Which instance each try was sent to, and when.
     senders: Arc<Mutex<HashMap<String, (usize, Instant)>>>,
     stop: Arc<AtomicBool>,
@@ -103,14 +103,14 @@
             return;
         };
         if !got.header(worker::Remark::LEAVING).is_empty() {
-            let life = Life::new(got.header("x-worker"), born);
+            let life = Incarnation::new(got.header("x-worker"), born);
             let mut said = self.said.lock().expect("nobody panics while holding it");
             said.push((instance, life, Instant::now()));
         }
     }
 
     /// Lives that said beside an answer that they leave, the instances that passed this on, and when.
-    pub(crate) fn said(&self) -> Vec<(usize, Life, Instant)> {
+    pub(crate) fn said(&self) -> Vec<(usize, Incarnation, Instant)> {
         self.said
             .lock()
             .expect("nobody panics while holding it")
@@ -374,9 +374,9 @@
     }
 
     /// The life of the upstream at a place.
-    pub(crate) fn life(&self, index: usize) -> Life {
+    pub(crate) fn life(&self, index: usize) -> Incarnation {
         let worker = &self.seats[index].worker;
-        Life::new(&worker.name, worker.born)
+        Incarnation::new(&worker.name, worker.born)
     }
 
     /// Has an upstream end and start again at once under its name: it holds nothing of before.
--- a/crates/standin/src/word.rs
+++ b/crates/standin/src/word.rs
@@ -10,7 +10,7 @@
 use pool::Line;
 use relaying::World;
 use wellplank_core::{
-    absence::Span,
+    availability::Span,
     clock::Time,
     event::Event,
     limit::{Limit, Rate},
--- a/crates/standin/tests/departure.rs
+++ b/crates/standin/tests/departure.rs
@@ -2,7 +2,7 @@
 
 use {
     googletest::prelude::*,
-    wellplank_core::{absence::Span, clock::Time, life::Life},
+    wellplank_core::{availability::Span, clock::Time, incarnation::Incarnation},
     wellplank_standin::departure::{Arrival, Record, Rule, Scope},
 };
 
@@ -28,8 +28,8 @@
 }
 
 /// The upstream in a life that began at a time.
-fn life(born: u64) -> Life {
-    Life::new("engine", born)
+fn life(born: u64) -> Incarnation {
+    Incarnation::new("engine", born)
 }
 
 /// A request of instance 1 over link 2.
--- a/crates/standin/tests/learning.rs
+++ b/crates/standin/tests/learning.rs
@@ -239,7 +239,7 @@
 
 #[gtest]
 fn upstream_that_leaves_while_the_store_forgets_and_refuses_is_known_in_time() {
-    let roles = [Role::Watcher, Role::Deputy, Role::Follower];
+    let roles = [Role::Watcher, Role::Standby, Role::Follower];
     for how in [Failing::Silent, Failing::Busy] {
         let by_role = roles.map(|role| Act::RefuseRole(role, how, 4_842));
         for refused in by_role.into_iter().chain([Act::Refuse(1, how, 4_842)]) {
--- a/crates/standin/tests/said.rs
+++ b/crates/standin/tests/said.rs
@@ -2,7 +2,7 @@
 
 use {
     googletest::prelude::*,
-    wellplank_core::{absence::Span, clock::Time, life::Life},
+    wellplank_core::{availability::Span, clock::Time, incarnation::Incarnation},
     wellplank_standin::{
         departure::{Arrival, Scope},
         said::{Refusal, Said},
@@ -12,8 +12,8 @@
 /// When instance 1 passes on that the upstream leaves, and when the upstream asks it for rest.
 const SAID: Time = Time(10_000);
 
-fn life(born: u64) -> Life {
-    Life::new("engine", born)
+fn life(born: u64) -> Incarnation {
+    Incarnation::new("engine", born)
 }
 
 /// A request of instance 1 over link 2.
