--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -150,7 +150,7 @@
     }
 
     /// Where it is kept.
-    pub fn place(&self) -> BucketId {
+    pub fn bucket_id(&self) -> BucketId {
         BucketId {
             bucket: self.key as u64 % BUCKETS,
             slice: self.stamp.0 / SLICE_MS,
--- a/crates/core/src/informer.rs
+++ b/crates/core/src/informer.rs
@@ -280,7 +280,7 @@
     /// the store's history does not have any more. Reads that may be old are ordered by what they bring.
     fn is_outdated(&self, call: Call, position: Position) -> bool {
         let behind = call.since.is_some_and(|since| since.era != position.era);
-        call.age == Consistency::Linearizable && (position.era < self.era || behind)
+        call.consistency == Consistency::Linearizable && (position.era < self.era || behind)
     }
 
     /// The store has come back from a copy: positions of before say nothing of what is to be asked for, calls that wait for
@@ -331,7 +331,7 @@
                 }
                 _ => None,
             };
-        } else if call.age == Consistency::Linearizable {
+        } else if call.consistency == Consistency::Linearizable {
             self.configuration.position = Some(position);
         }
     }
@@ -459,7 +459,7 @@
 
     fn hear(&mut self, heard: PeerReport, now: Time) {
         let confirmed = heard.confirmed.map(|confirmed| confirmed.to.era);
-        let word = heard.word.as_ref().map(|word| word.to.era);
+        let word = heard.update.as_ref().map(|word| word.to.era);
         let newest = confirmed.into_iter().chain(word).max();
         self.enter(newest.unwrap_or(0).max(heard.list.era), now);
         self.heard.configuration = self.heard.configuration.max(heard.configuration);
@@ -467,7 +467,7 @@
         if let Some(confirmed) = heard.confirmed {
             self.hear_confirmed(confirmed, &heard, now);
         }
-        let Some(word) = heard.word else {
+        let Some(word) = heard.update else {
             return;
         };
         self.word = now;
@@ -680,7 +680,7 @@
                 self.bound.wait_ms()
             }
         };
-        let age = match (topic, self.read) {
+        let consistency = match (topic, self.read) {
             (Topic::Configuration, Some((step, _)))
                 if follows && step < READS_MS.len() && self.bytes < LARGE =>
             {
@@ -689,11 +689,11 @@
             _ => Consistency::Linearizable,
         };
         let call = Call {
-            age,
-            is_retry: line.has_failed(),
+            consistency,
             id: self.next_call,
-            timeout_ms: line.timeout_ms,
+            is_retry: line.has_failed(),
             since,
+            timeout_ms: line.timeout_ms,
             topic,
             wait_ms,
         };
--- a/crates/core/src/informer_io.rs
+++ b/crates/core/src/informer_io.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Call {
     /// How old the answer may be.
-    pub age: Consistency,
+    pub consistency: Consistency,
     /// Whether the call before it failed.
     pub is_retry: bool,
     /// Its number.
@@ -81,7 +81,7 @@
     /// Position of the last change of the list that is known there.
     pub list: Position,
     /// Changes that one that watches for the data centre tells.
-    pub word: Option<RosterUpdate>,
+    pub update: Option<RosterUpdate>,
 }
 
 /// What happens to an informer.
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -82,11 +82,11 @@
 #[gtest]
 fn lease_outlives_the_last_key_that_is_taken() {
     let settings = Settings::default();
-    let place = claim(key(NOW.0), 1, 1).unwrap().place();
+    let bucket_id = claim(key(NOW.0), 1, 1).unwrap().bucket_id();
     let lease_begins = NOW.0 - settings.key_lead_max_ms;
     let last_use = NOW.0 + settings.key_age_max_ms + settings.key_lead_max_ms;
     expect_that!(BucketId::ttl_ms(&settings), gt(last_use - lease_begins));
-    expect_that!(place.lease(), gt(0));
+    expect_that!(bucket_id.lease(), gt(0));
 }
 
 #[gtest]
@@ -95,6 +95,6 @@
     let other = Claim::continuation(key(NOW.0), 2, 6, 2).unwrap();
     let next = Claim::continuation(key(NOW.0), 3, 5, 1).unwrap();
     expect_that!(one.key, eq(other.key));
-    expect_that!(one.place(), eq(other.place()));
+    expect_that!(one.bucket_id(), eq(other.bucket_id()));
     expect_that!(one.key, not(eq(next.key)));
 }
--- a/crates/core/tests/informer.rs
+++ b/crates/core/tests/informer.rs
@@ -147,7 +147,7 @@
 #[gtest]
 fn newer_era_that_another_instance_tells_is_entered_and_an_older_one_is_not() {
     let tells = |era| PeerReport {
-        word: Some(RosterUpdate {
+        update: Some(RosterUpdate {
             outage_ms: 0,
             changes: vec![Change {
                 entry: Entry::Deleted,
--- a/crates/node/src/claimer.rs
+++ b/crates/node/src/claimer.rs
@@ -60,7 +60,7 @@
         let mut committers: HashMap<claim::BucketId, mpsc::UnboundedSender<Order>> = HashMap::new();
         let mut forwarders: HashMap<SocketAddr, mpsc::UnboundedSender<Order>> = HashMap::new();
         while let Some(order) = orders.recv().await {
-            let place = order.claim.place();
+            let place = order.claim.bucket_id();
             let owner = if order.here { None } else { self.owner(place) };
             let sender = if let Some(owner) = owner {
                 forwarders.retain(|_, sender| !sender.is_closed());
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -227,7 +227,7 @@
             configuration: told.configuration,
             confirmed,
             list,
-            word,
+            update: word,
         };
         // The task that learns ends only with the instance.
         let _ = self.heard.send(heard);
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/learner.rs
@@ -332,7 +332,7 @@
     };
     let patience = Duration::from_millis(call.timeout_ms);
     let Some(since) = call.since else {
-        let (items, position) = client.items(prefix, patience, call.age).await?;
+        let (items, position) = client.items(prefix, patience, call.consistency).await?;
         return Ok(Brought::All(items, position));
     };
     let wait = Duration::from_millis(call.wait_ms);
--- a/crates/standin/src/learning.rs
+++ b/crates/standin/src/learning.rs
@@ -620,7 +620,7 @@
                 configuration: known.configuration,
                 confirmed,
                 list: known.list,
-                word: word.cloned(),
+                update: word.cloned(),
             };
             let hop = self.random.random_range(1..HOP_MS);
             let life = self.nodes[*other].life;
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -242,7 +242,7 @@
     fn all(&self, call: &Call, now: Time) -> Content {
         match call.topic {
             Topic::Configuration => {
-                let old = match call.age {
+                let old = match call.consistency {
                     Consistency::Linearizable => 0,
                     Consistency::Serializable => OLD_MS,
                 };
