--- a/crates/core/src/availability.rs
+++ b/crates/core/src/availability.rs
@@ -1,328 +1,334 @@
-//! Whether the platform's store was away, concluded from how all calls of an instance end.
+//! Outages of the key-value store, inferred from how all calls of an instance end.
 //!
-//! The load that it answers: entries of upstreams go when these leave, and also when the store is away for so long
-//! that it does not hear them. The first are to get no more work soon, the others live. One task's own call says
-//! neither: a watch is cut while the store answers everybody, and another one outlasts an outage.
+//! Entries of upstreams disappear when these leave, and also when the store is down for so long that their leases
+//! expire. The former must get no more work soon; the latter are still alive. A single task's calls can not tell the
+//! two apart: a watch may be cut while the store answers everybody, and another may outlast an outage.
 
 use super::*;
 
-/// Heartbeats of an upstream that an outage must last to make its entry go: it goes after three without a
-/// write, of which one may have passed before.
-const HEARTBEATS: u64 = 2;
+/// Heartbeats of an upstream that an outage must last for its entry to expire: it expires after three without a write,
+/// of which one may have passed before.
+const MISSED_HEARTBEATS: u64 = 2;
 
-/// Time for which calls fail before upstreams are taken to miss a write too, in milliseconds: more than the first pause
-/// behind a call that fails by itself, as a watch that is cut.
-const MISSED_MS: u64 = 300;
+/// Time of failing calls after which upstreams are taken to have missed a write too, in milliseconds: more than the
+/// first pause after a single failure, such as a cut watch.
+const MISSED_WRITE_MS: u64 = 300;
 
-/// Time after the store's return up to which upstreams whose entries went in between are believed to live, in
-/// milliseconds; they enter themselves again within about two seconds.
+/// Grace period after the store's return, in milliseconds: upstreams whose entries expired during the outage are taken
+/// to be alive and register again within about two seconds.
 pub const GRACE_MS: u64 = 2_000;
 
-/// The longest time without an absence that is told, in milliseconds: more than any instance is refused for before others are
-/// asked, and few bytes.
-const STEADY_MOST_MS: u64 = 60_000;
+/// Maximum uptime that is reported, in milliseconds: longer than any instance is refused before it calls others, and
+/// encoded in few bytes.
+const UPTIME_MAX_MS: u64 = 60_000;
 
-/// What the calls of an instance showed of the store.
+/// Availability of the store as the calls of an instance show it.
 #[derive(Clone, Copy, Debug)]
 pub struct Availability {
-    /// When a call was answered last; `None` before the first time.
-    answered: Option<Time>,
-    /// The last span in which the store was away for so long that entries may have gone.
-    away: Option<Span>,
-    /// How often the store had come back from a copy, by the last answer; 0 before the first, and where it does not say.
+    /// Era of the store by the newest answer: the number of restores from a backup; 0 before the first answer, and
+    /// where the store reports none.
     era: u64,
-    /// The last span in which calls failed.
-    failing: Option<Span>,
-    /// When a call failed first since; `None` if none did.
-    failed: Option<Time>,
-    /// Calls that failed since.
+    /// When the first call since the last answer failed; `None` if none did.
+    failing_since: Option<Time>,
+    /// Failed calls since the last answer.
     failures: u32,
-    /// Time between two writes of an upstream's entry, in milliseconds.
+    /// Interval between two writes of an upstream's entry, in milliseconds.
     heartbeat_ms: u64,
-    /// The last span in which calls failed for so long that upstreams missed a write too.
-    missed: Option<Span>,
-    /// The last span without an answer in which entries may have gone, whether or not a call failed in it.
-    quiet: Option<Span>,
-    /// When a call was answered first behind one that failed.
-    recovered: Option<Time>,
-    /// The last span in which other instances told that the store had answered them, while calls failed here.
-    returned: Option<Span>,
-    /// Since when the store has answered without an absence; `None` before the first answer.
-    steady: Option<Time>,
-    /// When the store was last found not to answer; `None` if it never was.
-    unanswered: Option<Time>,
-    /// When the store last answered another instance, by what that one told.
-    witnessed: Option<Time>,
+    /// When a call was last answered; `None` before the first answer.
+    last_answer: Option<Time>,
+    /// Latest span of failing calls.
+    last_failing: Option<Span>,
+    /// When the store last answered a peer, by the peer's report.
+    last_peer_answer: Option<Time>,
+    /// When the store was last found not to answer; `None` if it always did.
+    last_unanswered: Option<Time>,
+    /// Latest span in which calls failed for so long that upstreams missed a write too.
+    missed_write: Option<Span>,
+    /// Latest outage that was long enough for entries to expire.
+    outage: Option<Span>,
+    /// Latest span in which peers reported answers of the store while calls failed here.
+    peer_recovery: Option<Span>,
+    /// When a call was first answered after a failure.
+    recovered_at: Option<Time>,
+    /// Latest span without an answer in which entries may have expired, whether or not a call failed in it.
+    silence: Option<Span>,
+    /// Since when the store has answered without an outage; `None` before the first answer.
+    up_since: Option<Time>,
 }
 
 /// A span of time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Span {
-    /// Its begin.
+    /// Start of the span.
     pub from: Time,
-    /// Its end.
+    /// End of the span.
     pub to: Time,
 }
 
 impl Span {
-    /// Time that it shares with another one, in milliseconds.
-    pub(crate) fn shared_ms(self, other: Self) -> u64 {
+    /// Duration of the overlap with another span, in milliseconds.
+    pub(crate) fn overlap_ms(self, other: Self) -> u64 {
         self.to.min(other.to).since(self.from.max(other.from))
     }
 }
 
 impl Availability {
-    /// What is believed before the first call, where upstreams write their entries so often.
+    /// State before the first call, for upstreams that write their entries at this interval.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
-            answered: None,
-            away: None,
             era: 0,
-            failed: None,
+            failing_since: None,
             failures: 0,
-            failing: None,
             heartbeat_ms,
-            missed: None,
-            quiet: None,
-            recovered: None,
-            returned: None,
-            steady: None,
-            unanswered: None,
-            witnessed: None,
+            last_answer: None,
+            last_failing: None,
+            last_peer_answer: None,
+            last_unanswered: None,
+            missed_write: None,
+            outage: None,
+            peer_recovery: None,
+            recovered_at: None,
+            silence: None,
+            up_since: None,
         }
     }
 
-    /// Notes an answer; for how long the store was away, in milliseconds, if this ends an absence in which entries
-    /// may have gone.
+    /// Records an answer. If it ends an outage in which entries may have expired, returns the outage's duration in
+    /// milliseconds.
     pub fn record_success(&mut self, now: Time) -> Option<u64> {
-        let short = |answered: Time| now.since(answered) < self.lapse_ms();
-        // Upstreams miss a write in a shorter absence too: behind its end they have to enter themselves.
-        let missed = self
-            .failed
-            .is_some_and(|failed| now.since(failed) >= MISSED_MS);
-        if missed || !self.answered.is_some_and(short) {
-            self.steady = Some(now);
+        let short = |answered: Time| now.since(answered) < self.expiry_ms();
+        // Upstreams miss a write in a shorter outage too and must register again after its end.
+        let has_missed_write = self
+            .failing_since
+            .is_some_and(|failing_since| now.since(failing_since) >= MISSED_WRITE_MS);
+        if has_missed_write || !self.last_answer.is_some_and(short) {
+            self.up_since = Some(now);
         }
-        let quiet = match self.quiet_until(now) {
-            Some(quiet) => Some(quiet).filter(|quiet| self.may_lapse(*quiet)),
-            // It started without the store, and does not know since when this was away: for longer than what others may take off
-            // its end.
-            None => self.failed.map(|_| Span {
-                from: now.before(2 * self.lapse_ms()),
+        let silence = match self.silence_until(now) {
+            Some(silence) => Some(silence).filter(|silence| self.may_expire(*silence)),
+            // This instance started without the store and does not know since when it was down: the span exceeds what
+            // peers may subtract from its end.
+            None => self.failing_since.map(|_| Span {
+                from: now.before(2 * self.expiry_ms()),
                 to: now,
             }),
         };
-        let failed = self.failed.take();
-        let returned = self.returned.take();
+        let failing_since = self.failing_since.take();
+        let peer_recovery = self.peer_recovery.take();
         self.failures = 0;
-        self.answered = Some(now);
-        self.quiet = quiet.or(self.quiet);
-        let failed = failed?;
-        self.recovered = Some(now);
-        let merged = self.merged(failed, now);
-        let quiet = quiet.or(merged);
-        if missed {
-            self.missed = Some(Span {
-                from: failed,
+        self.last_answer = Some(now);
+        self.silence = silence.or(self.silence);
+        let failing_since = failing_since?;
+        self.recovered_at = Some(now);
+        let merged = self.merge_outages(failing_since, now);
+        let silence = silence.or(merged);
+        if has_missed_write {
+            self.missed_write = Some(Span {
+                from: failing_since,
                 to: now,
             });
         }
-        let returned = returned.filter(|returned| self.is_steady(returned.to, now));
-        let quiet = quiet.map(|quiet| self.ended_by(quiet, returned));
-        self.away = quiet.or(self.away);
-        quiet.map(|away| away.to.since(away.from))
+        let peer_recovery =
+            peer_recovery.filter(|peer_recovery| self.is_continuous(peer_recovery.to, now));
+        let silence = silence.map(|silence| self.end_at_peer_recovery(silence, peer_recovery));
+        self.outage = silence.or(self.outage);
+        silence.map(|outage| outage.to.since(outage.from))
     }
 
-    /// Notes the era that an answer tells; whether the store has come back from a copy since the answer before. What its owners
-    /// wrote since the copy may be missing, as behind an absence in which entries may have gone.
+    /// Records the era of an answer; returns whether the store was restored from a backup since the answer before.
+    /// Writes after the backup may be lost, as in an outage in which entries expire.
     pub fn observe_era(&mut self, era: u64, now: Time) -> bool {
         if era <= self.era {
             return false;
         }
         self.era = era;
-        if self.answered.is_none() {
+        if self.last_answer.is_none() {
             return false;
         }
-        self.steady = Some(now);
-        self.away = Some(Span {
-            // Whatever was answered before: it is lost.
-            from: now.before(STEADY_MOST_MS + self.lapse_ms()),
+        self.up_since = Some(now);
+        self.outage = Some(Span {
+            // Everything answered before may be lost.
+            from: now.before(UPTIME_MAX_MS + self.expiry_ms()),
             to: now,
         });
         true
     }
 
-    /// For how long up to its last answer the store has not been away, in milliseconds.
+    /// How long the store had been available at its last answer, in milliseconds.
     pub fn uptime_ms(&self) -> u64 {
-        let steady = self.answered.zip(self.steady);
-        steady.map_or(0, |(answered, steady)| {
-            answered.since(steady).min(STEADY_MOST_MS)
+        let times = self.last_answer.zip(self.up_since);
+        times.map_or(0, |(answered, up_since)| {
+            answered.since(up_since).min(UPTIME_MAX_MS)
         })
     }
 
-    /// The part of a span without the store in which entries may have gone, as the store is known to have been there in another
-    /// span; `None` if there is none. Behind its end they are entered again.
-    pub(crate) fn exclude_uptime(&self, away: Span, steady: Span) -> Option<Span> {
-        if away.to.since(steady.to) >= self.lapse_ms() {
-            return Some(away);
+    /// The part of an outage in which entries may have expired, given a span in which the store was up; `None` if
+    /// there is none. After the end of the outage entries are registered again.
+    pub(crate) fn exclude_uptime(&self, outage: Span, uptime: Span) -> Option<Span> {
+        if outage.to.since(uptime.to) >= self.expiry_ms() {
+            return Some(outage);
         }
         let left = Span {
-            from: away.from,
-            to: away.to.min(steady.from).max(away.from),
+            from: outage.from,
+            to: outage.to.min(uptime.from).max(outage.from),
         };
-        Some(left).filter(|left| self.may_lapse(*left))
+        Some(left).filter(|left| self.may_expire(*left))
     }
 
-    /// How often the store had come back from a copy, by the newest answer.
+    /// Number of times that the store was restored from a backup, by the newest answer.
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// Time by which upstreams have written their entries again behind calls that failed for a while, however short; `None` if they
-    /// missed no write, as the store is known to have been there in another span. An instance that makes few calls is answered long
-    /// behind the end of an absence.
-    pub(crate) fn reregistered_by(&self, steady: Option<Span>) -> Option<Time> {
-        let missed = self.missed?;
-        let lasting = steady.filter(|steady| self.is_steady(steady.to, missed.to));
-        let back = lasting.map_or(missed.to, |steady| steady.from.min(missed.to));
+    /// Time by which upstreams have registered again after a span of failing calls, however short; `None` if they
+    /// missed no write because the store was up for others. An instance that makes few calls gets its answer long
+    /// after the end of an outage.
+    pub(crate) fn reregistered_by(&self, uptime: Option<Span>) -> Option<Time> {
+        let missed = self.missed_write?;
+        let continuous = uptime.filter(|uptime| self.is_continuous(uptime.to, missed.to));
+        let back = continuous.map_or(missed.to, |uptime| uptime.from.min(missed.to));
         (back > missed.from).then(|| back.after(self.heartbeat_ms))
     }
 
-    /// Notes that the store has just answered another instance: no entry goes for want of it while it answers any. A
-    /// call that a silent connection lost was else taken for an absence, and an upstream that had gone was believed
-    /// for two seconds more.
+    /// Records that the store has just answered a peer: no entry expires while it answers anybody. Otherwise a call
+    /// lost on a dead connection was taken for an outage, and an upstream that had left was kept for two seconds more.
     pub fn record_peer_success(&mut self, now: Time) {
-        let quiet = self.quiet_until(now);
-        if let Some(quiet) = quiet.filter(|quiet| self.may_lapse(*quiet)) {
-            self.quiet = Some(quiet);
-            if self.failed.is_some() {
-                self.away = Some(quiet);
+        let silence = self.silence_until(now);
+        if let Some(silence) = silence.filter(|silence| self.may_expire(*silence)) {
+            self.silence = Some(silence);
+            if self.failing_since.is_some() {
+                self.outage = Some(silence);
             }
         }
-        self.witnessed = Some(now);
-        if self.failed.is_some() {
-            let lasting = self
-                .returned
-                .filter(|before| self.is_steady(before.to, now));
-            let from = lasting.map_or(now, |before| before.from);
-            self.returned = Some(Span { from, to: now });
+        self.last_peer_answer = Some(now);
+        if self.failing_since.is_some() {
+            let continuous = self
+                .peer_recovery
+                .filter(|before| self.is_continuous(before.to, now));
+            let from = continuous.map_or(now, |before| before.from);
+            self.peer_recovery = Some(Span { from, to: now });
         }
     }
 
-    /// When the store answered last.
+    /// When the store last answered.
     pub fn last_answer(&self) -> Option<Time> {
-        self.answered
+        self.last_answer
     }
 
-    /// When the store was last found not to answer; `None` if it never was.
+    /// When the store was last found not to answer; `None` if it always did.
     pub fn last_unanswered(&self) -> Option<Time> {
-        self.unanswered
+        self.last_unanswered
     }
 
-    /// The last span in which the store was away for so long that entries may have gone.
+    /// Latest outage that was long enough for entries to expire.
     pub fn outage(&self) -> Option<Span> {
-        self.away
+        self.outage
     }
 
-    /// For how much longer an entry that is missing now is believed, in milliseconds: it may have gone while the
-    /// store was away, and be entered again.
+    /// Remaining grace period of entries that are missing now, in milliseconds: they may have expired during the
+    /// outage and be registered again.
     pub fn grace_ms(&self, now: Time) -> u64 {
-        self.away.map_or(0, |away| grace_ms(away, now))
+        self.outage.map_or(0, |outage| grace_ms(outage, now))
     }
 
-    /// Notes a call that failed or was refused. `unanswered` is when the store did not answer it: now where it was refused, and where
-    /// its time ran out when that began. One that the store had taken before it answered another call shows nothing of the
-    /// store since: entries that had gone would be believed as behind a second absence, and leaving upstreams get work meanwhile.
+    /// Records a call that failed or was refused. `unanswered` is when the store did not answer it: now if it was
+    /// refused, the start of its time-out otherwise. A call that the store accepted before it answered another one
+    /// says nothing about the time since: entries of upstreams that had left would be kept as after a second outage,
+    /// and leaving upstreams would get work meanwhile.
     pub fn record_failure(&mut self, unanswered: Time, now: Time) {
-        if self.answered.is_none_or(|answered| answered < unanswered) {
-            self.failed.get_or_insert(now);
+        if self
+            .last_answer
+            .is_none_or(|answered| answered < unanswered)
+        {
+            self.failing_since.get_or_insert(now);
             self.failures += 1;
-            self.unanswered = self.unanswered.max(Some(unanswered));
+            self.last_unanswered = self.last_unanswered.max(Some(unanswered));
         }
-        // A call that was out in a span without answers may be noticed only behind it.
-        let just = |quiet: &Span| now.since(quiet.to) <= store_calls::TIMEOUT_MS;
-        if let Some(quiet) = self.quiet.filter(just)
-            && self.away.is_none_or(|away| away.to < quiet.from)
+        // The failure of a call that was pending in the silent span may be noticed only after it.
+        let just = |silence: &Span| now.since(silence.to) <= store_calls::TIMEOUT_MS;
+        if let Some(silence) = self.silence.filter(just)
+            && self.outage.is_none_or(|outage| outage.to < silence.from)
         {
-            self.away = Some(quiet);
+            self.outage = Some(silence);
         }
     }
 
-    /// Whether the store may have been away for all, and not only for an instance that tells of it: no answer here
-    /// says that it served others meanwhile.
-    pub fn is_shared_outage(&self, away: Span, now: Time) -> bool {
-        let Some(quiet) = self.quiet_until(now) else {
+    /// Whether the store may have been down for every instance during a reported outage: no answer here shows that it
+    /// served others meanwhile.
+    pub fn is_shared_outage(&self, outage: Span, now: Time) -> bool {
+        let Some(silence) = self.silence_until(now) else {
             return true;
         };
-        let shared = |quiet: Span| self.overlaps_outage(quiet, away);
-        shared(quiet) || self.quiet.is_some_and(shared)
+        let shared = |silence: Span| self.overlaps_outage(silence, outage);
+        shared(silence) || self.silence.is_some_and(shared)
     }
 
-    /// Whether two spans without the store have so much in common that entries may have gone in it.
+    /// Whether two outages overlap for so long that entries may have expired meanwhile.
     pub(crate) fn overlaps_outage(&self, one: Span, other: Span) -> bool {
-        one.shared_ms(other) >= self.lapse_ms()
+        one.overlap_ms(other) >= self.expiry_ms()
     }
 
-    /// When a call was answered first behind one that failed. A silent store never answers a call that it took
-    /// before, however long this may wait.
+    /// When a call was first answered after a failure. A silent store never answers a call that it accepted before,
+    /// however long the wait.
     pub fn recovered_at(&self) -> Option<Time> {
-        self.recovered
+        self.recovered_at
     }
 
-    /// The span of an absence that ends now with one that ended so shortly before that upstreams may have written
-    /// nothing in between, if entries may have gone in both together.
-    fn merged(&mut self, failed: Time, now: Time) -> Option<Span> {
-        if now.since(failed) < store_calls::TIMEOUT_MS {
-            // A call of the absence before was noticed late.
+    /// Combines the outage that ends now with one that ended so shortly before that upstreams may have written nothing
+    /// in between; `None` if no entry may have expired in both together.
+    fn merge_outages(&mut self, failing_since: Time, now: Time) -> Option<Span> {
+        if now.since(failing_since) < store_calls::TIMEOUT_MS {
+            // The failure belongs to the outage before and was noticed late.
             return None;
         }
         let before = self
-            .failing
-            .filter(|before| failed.since(before.to) < self.heartbeat_ms);
-        let from = before.map_or(failed, |before| before.from);
+            .last_failing
+            .filter(|before| failing_since.since(before.to) < self.heartbeat_ms);
+        let from = before.map_or(failing_since, |before| before.from);
         let span = Span { from, to: now };
-        self.failing = Some(span);
-        Some(span).filter(|span| before.is_some() && self.may_lapse(*span))
+        self.last_failing = Some(span);
+        Some(span).filter(|span| before.is_some() && self.may_expire(*span))
     }
 
-    /// A span without the store, up to its return for another instance: upstreams enter themselves from then on, though the store
-    /// refuses this one for longer. From its own first answer on an upstream that left was believed too long.
-    fn ended_by(&self, away: Span, returned: Option<Span>) -> Span {
-        let to = returned.map_or(away.to, |returned| away.to.min(returned.from));
-        let ended = Span { to, ..away };
-        if to > away.from && self.may_lapse(ended) {
+    /// Ends an outage at the store's return for a peer: upstreams register again from then on, though the store
+    /// refuses this instance for longer. Counted from its own first answer, an upstream that left was kept too long.
+    fn end_at_peer_recovery(&self, outage: Span, peer_recovery: Option<Span>) -> Span {
+        let to = peer_recovery.map_or(outage.to, |peer_recovery| outage.to.min(peer_recovery.from));
+        let ended = Span { to, ..outage };
+        if to > outage.from && self.may_expire(ended) {
             ended
         } else {
-            away
+            outage
         }
     }
 
-    /// Whether the store was there between two answers to anybody: the time between them is too short for an absence in which an
-    /// upstream misses more than one write.
-    fn is_steady(&self, before: Time, now: Time) -> bool {
+    /// Whether the store was up between two answers to any instance: the time between them is too short for an outage
+    /// in which an upstream misses more than one write.
+    fn is_continuous(&self, before: Time, now: Time) -> bool {
         now.since(before) < self.heartbeat_ms
     }
 
-    /// The shortest time without the store in which entries may go, in milliseconds.
-    fn lapse_ms(&self) -> u64 {
-        HEARTBEATS * self.heartbeat_ms
+    /// Duration of the shortest outage in which entries may expire, in milliseconds.
+    fn expiry_ms(&self) -> u64 {
+        MISSED_HEARTBEATS * self.heartbeat_ms
     }
 
-    /// Whether entries may have gone in a span without the store.
-    fn may_lapse(&self, span: Span) -> bool {
-        span.to.since(span.from) >= self.lapse_ms()
+    /// Whether entries may have expired in an outage of this span.
+    fn may_expire(&self, span: Span) -> bool {
+        span.to.since(span.from) >= self.expiry_ms()
     }
 
-    /// The span since the last answer; `None` before the first one. Where one call failed, its connection may have been
-    /// silent, and an answer to another instance counts too; where more did, that instance may have told it late.
-    fn quiet_until(&self, now: Time) -> Option<Span> {
-        let witnessed = self.witnessed.filter(|_| self.failures <= 1);
-        let from = self.answered?.max(witnessed.unwrap_or_default());
+    /// The span since the last answer; `None` before the first one. After a single failure an answer to a peer counts
+    /// too, since the failed call's connection may have been dead; after several, the peer may have reported its
+    /// answer late.
+    fn silence_until(&self, now: Time) -> Option<Span> {
+        let last_peer_answer = self.last_peer_answer.filter(|_| self.failures <= 1);
+        let from = self.last_answer?.max(last_peer_answer.unwrap_or_default());
         Some(Span { from, to: now })
     }
 }
 
-/// For how much longer entries that went in an absence of the store are believed, in milliseconds.
-pub fn grace_ms(away: Span, now: Time) -> u64 {
-    away.to.after(GRACE_MS).since(now)
+/// Remaining grace period after an outage of the store, in milliseconds.
+pub fn grace_ms(outage: Span, now: Time) -> u64 {
+    outage.to.after(GRACE_MS).since(now)
 }
--- a/crates/core/src/informer.rs
+++ b/crates/core/src/informer.rs
@@ -1,13 +1,15 @@
-//! What an instance learns from the platform's store, when it asks, whom it believes and what it tells others.
+//! State machine by which an instance follows the key-value store: when to call it, which answers and peers to trust,
+//! and what to announce to other instances.
 //!
-//! The load that it answers: each call of the store is paid for, and what the store says must be known everywhere
-//! within a bound. In a small fleet every instance watches the store. In a larger one an instance of each data centre
-//! watches it and tells the others there by datagrams; a deputy stands in, and one that hears nothing for a while, or
-//! misses a change, asks the store itself. All times are derived from the bound or bounded by it.
+//! Every call of the store is paid for, yet each change must be known on every instance within a staleness bound. In a
+//! small fleet every instance watches the store. In a larger one a watcher in each data centre does and announces
+//! changes to the others there by datagram. A standby takes over if the watcher is silent, and an instance that hears
+//! nothing for a while, or misses a change, reads the store itself. All intervals are derived from the bound or
+//! limited by it.
 //!
-//! A call that waits for a change and hears nothing does not show that there is none: its connection may say
-//! nothing any more while something on the way acknowledges for it. So the first of those that watch waits for short
-//! and tells the others what the store showed it; who is shown nothing for a while asks again on a new connection.
+//! A watch that returns nothing does not prove that nothing has changed: its connection may be dead while a hop on the
+//! path still acknowledges packets. So the first watcher uses short waits and confirms to the others what the store
+//! showed it; an instance without a confirmation for a while calls again on a new connection.
 
 use super::*;
 use availability::Span;
@@ -16,299 +18,321 @@
     PeerReport, Topic,
 };
 
-/// Time that a watch waits for a change while another instance shows that there is none, in milliseconds: as long as
-/// the store lets it. One that says nothing any more is noticed by what other calls and other instances show.
+/// Wait of a watch while another instance confirms that nothing has changed, in milliseconds: the longest that the
+/// store allows. A dead connection is detected through other calls and other instances.
 const WAIT_MS: u64 = 30_000;
 
-/// The shortest wait of a watch, in milliseconds: behind a pause in which changes gathered little of the time between
-/// two calls may be left.
-const WAIT_LEAST_MS: u64 = 100;
+/// Minimum wait of a watch, in milliseconds: after the pause for batching, little of the interval between two calls
+/// may be left.
+const WAIT_MIN_MS: u64 = 100;
 
-/// Pause between two watches for each upstream, in milliseconds, in which changes gather: each call is paid for, and
-/// a lost data centre changes a part of all entries.
-const GATHER_EACH_MS: u64 = 6;
+/// Pause between two watches per upstream in which changes are batched, in milliseconds: each call is paid for, and
+/// the loss of a data centre changes a share of all entries.
+const BATCH_PER_UPSTREAM_MS: u64 = 6;
 
-/// The shortest such pause, in milliseconds. The longest is half of the time in which a leaving upstream must get no
-/// more work; the other half is for the call.
-const GATHER_LEAST_MS: u64 = 200;
+/// Minimum batching pause, in milliseconds. The maximum is half of the time within which a leaving upstream must get
+/// no more work; the other half is left for the call.
+const BATCH_MIN_MS: u64 = 200;
 
-/// Time for which datagrams that came before earlier ones wait for these, in milliseconds: links carry short ones
+/// Time that a datagram received before its predecessors waits for them, in milliseconds: links deliver short ones
 /// sooner.
-const REORDER_MS: u64 = 150;
+const REORDER_WINDOW_MS: u64 = 150;
 
-/// Pauses before the reads of a configuration that others are known to have, in milliseconds. These reads may be old,
-/// by some hundred milliseconds as played, and cost a tenth; the one after them does not. In the first pause more
-/// changes may gather.
-const READS_MS: [u64; 2] = [200, 300];
+/// Pauses before the reads of a configuration that peers are known to have, in milliseconds. These reads are
+/// serializable: they may be some hundred milliseconds old in simulation and cost a tenth. The read after them is
+/// linearizable. The first pause lets more changes accumulate.
+const READ_PAUSES_MS: [u64; 2] = [200, 300];
 
-/// Those pauses together.
-pub(crate) const READS_ALL_MS: u64 = READS_MS[0] + READS_MS[1];
+/// Sum of [`READ_PAUSES_MS`].
+pub(crate) const READ_PAUSES_TOTAL_MS: u64 = READ_PAUSES_MS[0] + READ_PAUSES_MS[1];
 
-/// Bytes from which on a configuration is read once, with the first pause: each read of half a megabyte takes
-/// a link of 10 Mbit/s for half a second, and the time in which it must be in force is short.
-const LARGE: usize = 64 << 10;
+/// Size in bytes from which a configuration is read only once, after the first pause: each read of half a megabyte
+/// occupies a 10 Mbit/s link for half a second, and little time is left to apply it.
+const LARGE_CONFIG_BYTES: usize = 64 << 10;
 
-/// What an instance believes of the store.
+/// Follows the store on behalf of one instance.
 #[derive(Debug)]
 pub struct Informer {
-    absence: Availability,
-    /// When the configuration was asked for last by one that hears from others.
-    asked: Time,
+    /// Revision of the configuration in force.
+    active_revision: Option<u64>,
+    availability: Availability,
     bound: StalenessBound,
-    /// Size of the configuration that was read last.
-    bytes: usize,
     calls: BTreeMap<u64, Call>,
+    /// Size in bytes of the configuration that was read last.
+    config_bytes: usize,
     configuration: StoreCalls,
-    /// Words that came before earlier ones.
-    early: Vec<RosterUpdate>,
-    /// Upstreams that there are.
-    entries: usize,
-    /// How often the store is known to have come back from a copy.
+    /// Updates that arrived before their predecessors.
+    early_updates: Vec<RosterUpdate>,
+    /// Number of listed upstreams.
+    entry_count: usize,
+    /// Number of known restores of the store from a backup.
     era: u64,
-    /// When word was fresh last, or the store was asked, of one that hears from others.
-    fresh: Time,
-    /// When a word showed that a change was missed.
-    gap: Option<Time>,
-    /// The most that others know.
-    heard: KnownState,
-    /// Revision of the configuration in force.
-    in_force: Option<u64>,
-    /// Time in which a leaving upstream must get no more work, in milliseconds.
+    /// When the store is known to have served any instance: by own calls and by updates from watchers.
+    fleet_availability: Availability,
+    /// When an update showed that a change was missed.
+    gap_since: Option<Time>,
+    /// When the watcher of the data centre was last heard.
+    last_heard: Time,
+    /// Time within which a leaving upstream must get no more work, in milliseconds.
     leave_ms: u64,
     next_call: u64,
     outputs: Vec<Output>,
-    /// Which read of a configuration that others have is next, and when.
-    read: Option<(usize, Time)>,
+    /// Newest state that any peer has reported.
+    peer_state: KnownState,
+    /// Latest span in the present era in which the store was available to peers, as they report.
+    peer_uptime: Option<Span>,
+    /// Index in [`READ_PAUSES_MS`] and time of the next read of a configuration that peers have.
+    pending_read: Option<(usize, Time)>,
+    /// Rank among the instances that watch the store.
+    rank: WatcherRank,
+    /// When an instance that follows others last read the configuration.
+    read_at: Time,
+    /// When an instance that follows others last got an update in sequence or called the store.
+    refreshed_at: Time,
     role: Role,
     roster: Roster,
-    /// When the store is known to have served anybody: by own calls, and by word of those that watch.
-    served: Availability,
-    /// The last span in which the store was not away for others, as they tell, in its present era.
-    steady: Option<Span>,
-    /// Its place among those that watch the store for themselves.
-    rank: WatcherRank,
     upstreams: StoreCalls,
-    /// When one that watches for the data centre was heard last.
-    word: Time,
 }
 
 impl Informer {
-    /// An informer that knows nothing yet. What the store says must be known within `bound`, and a leaving upstream
-    /// must get no more work within `leave_ms`.
-    pub fn new(bound: StalenessBound, leave_ms: u64, absence: Availability, now: Time) -> Self {
+    /// Creates an informer that knows nothing yet. Changes in the store must be known within `bound`, and a leaving
+    /// upstream must get no more work within `leave_ms`.
+    pub fn new(
+        bound: StalenessBound,
+        leave_ms: u64,
+        availability: Availability,
+        now: Time,
+    ) -> Self {
         Self {
-            absence,
-            asked: now,
+            active_revision: None,
+            availability,
             bound,
-            bytes: 0,
             calls: BTreeMap::new(),
-            configuration: StoreCalls::default().begun(now),
-            early: Vec::new(),
-            entries: 0,
+            config_bytes: 0,
+            configuration: StoreCalls::default().started_at(now),
+            early_updates: Vec::new(),
+            entry_count: 0,
             era: 0,
-            fresh: now,
-            gap: None,
-            heard: KnownState::default(),
-            in_force: None,
+            fleet_availability: availability,
+            gap_since: None,
+            last_heard: now,
             leave_ms,
             next_call: 0,
             outputs: Vec::new(),
-            read: None,
+            peer_state: KnownState::default(),
+            peer_uptime: None,
+            pending_read: None,
+            rank: WatcherRank::default(),
+            read_at: now,
+            refreshed_at: now,
             role: Role::Independent,
             roster: Roster::default(),
-            served: absence,
-            steady: None,
-            rank: WatcherRank::default(),
-            upstreams: StoreCalls::hurried().begun(now),
-            word: now,
+            upstreams: StoreCalls::with_fast_retry().started_at(now),
         }
     }
 
-    /// What it knows.
+    /// What this instance knows of the store.
     pub fn known_state(&self) -> KnownState {
         KnownState {
-            configuration: self.in_force,
-            list: self.roster.changed,
+            configuration: self.active_revision,
+            list: self.roster.last_change,
         }
     }
 
-    /// Takes in what happened, and what the ends of all calls showed of the store; what is to be done.
-    pub fn handle(&mut self, input: Input, absence: Availability, now: Time) -> Vec<Output> {
-        self.absence = absence;
-        if let Some(answered) = absence
+    /// Handles an input together with the availability of the store as the ends of all calls show it; returns what to
+    /// do.
+    pub fn handle(&mut self, input: Input, availability: Availability, now: Time) -> Vec<Output> {
+        self.availability = availability;
+        if let Some(answered) = availability
             .last_answer()
-            .filter(|at| Some(*at) > self.served.last_answer())
+            .filter(|at| Some(*at) > self.fleet_availability.last_answer())
         {
-            self.served.record_success(answered);
+            self.fleet_availability.record_success(answered);
         }
-        self.enter(absence.era(), now);
+        self.enter_era(availability.era(), now);
         match input {
-            Input::Answered(id, answer) => self.answered(id, answer, now),
-            Input::Failed(id) => self.failed(id, now),
-            Input::PeerReport(heard) => self.hear(heard, now),
+            Input::Answered(id, answer) => self.handle_answer(id, answer, now),
+            Input::Failed(id) => self.handle_failure(id, now),
+            Input::PeerReport(report) => self.handle_report(report, now),
             Input::Role(role, rank) => {
                 self.rank = rank;
                 self.change_role(role, now);
             }
             Input::Tick => {}
         }
-        self.settle(now);
+        self.run_due(now);
         std::mem::take(&mut self.outputs)
     }
 
-    /// When it is to be called again, if nothing happens before.
+    /// When to call [`Self::handle`] with [`Input::Tick`] if nothing else happens; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Time> {
-        let lines = [Topic::Configuration, Topic::Upstreams].into_iter();
-        let lines = lines.filter_map(|topic| {
-            let line = self.line(topic);
-            if line.out.is_none() {
+        let times = [Topic::Configuration, Topic::Upstreams].into_iter();
+        let times = times.filter_map(|topic| {
+            let calls = self.topic_calls(topic);
+            if calls.pending.is_none() {
                 return Some(self.due(topic));
             }
-            let hopeless = line.hopeless(&self.absence).map(|(at, _)| at);
-            hopeless.into_iter().chain(self.unconfirmed(topic)).min()
+            let abandon_at = calls.abandon_at(&self.availability).map(|(at, _)| at);
+            abandon_at
+                .into_iter()
+                .chain(self.unconfirmed_at(topic))
+                .min()
         });
-        lines.chain(self.lapse()).min()
+        times.chain(self.entry_expiry()).min()
     }
 
-    /// Whether instances that watch for themselves show each other that nothing of a topic has changed.
+    /// Whether watchers confirm to each other that a topic is unchanged.
     fn is_confirmed(&self, topic: Topic) -> bool {
         match (topic, self.role) {
             (_, Role::Independent) | (Topic::Configuration, Role::Watcher) => true,
-            // One that watches the list for others waits for a fraction of the bound.
+            // A watcher uses a fraction of the bound as its wait for the list.
             (Topic::Upstreams, Role::Watcher) | (_, Role::Standby | Role::Follower) => false,
         }
     }
 
-    /// Whether this instance is the one that shows the others that nothing has changed: it is the first, or heard of
-    /// none before it for long.
+    /// Whether this instance sends the confirmations: it has the lowest rank, or has heard none from a lower rank for
+    /// long.
     fn confirms(&self, topic: Topic, now: Time) -> bool {
-        let silent = self
-            .line(topic)
-            .told
+        let silent_until = self
+            .topic_calls(topic)
+            .last_confirmation
             .after(self.bound.unconfirmed_ms(self.rank));
-        self.is_confirmed(topic) && (self.rank.rank == 0 || silent <= now)
+        self.is_confirmed(topic) && (self.rank.rank == 0 || silent_until <= now)
     }
 
-    /// Until when what is known of a topic holds without being shown again.
+    /// Time until which the known state of a topic counts as current without another confirmation.
     fn confirmed_until(&self, topic: Topic) -> Option<Time> {
-        let line = self.line(topic);
-        let until = line.confirmed.after(self.bound.unconfirmed_ms(self.rank));
+        let calls = self.topic_calls(topic);
+        let until = calls.confirmed.after(self.bound.unconfirmed_ms(self.rank));
         self.is_confirmed(topic).then_some(until)
     }
 
-    /// When the call that waits for a change is ended since nobody has shown that there was none. A connection that
-    /// says nothing any more held a word of an upstream back for 6.2 s of 2 s allowed, as seven processes showed.
-    fn unconfirmed(&self, topic: Topic) -> Option<Time> {
-        let waits = self.line(topic).out.is_some_and(|out| out.waits);
-        self.confirmed_until(topic).filter(|_| waits)
+    /// When to cancel a watch that nobody has confirmed. With seven processes a dead connection delayed the news that
+    /// an upstream leaves by 6.2 s, where 2 s are allowed.
+    fn unconfirmed_at(&self, topic: Topic) -> Option<Time> {
+        let is_watch = self
+            .topic_calls(topic)
+            .pending
+            .is_some_and(|pending| pending.is_watch);
+        self.confirmed_until(topic).filter(|_| is_watch)
     }
 
-    /// When the store is to be asked of an entry that is missing, though a watch is out that waits for other changes.
-    fn lapse(&self) -> Option<Time> {
-        let waits = self.upstreams.out.is_some_and(|out| out.waits);
-        self.roster.next_expiry().filter(|_| waits)
+    /// When to read the store about a missing entry although a watch is waiting for other changes.
+    fn entry_expiry(&self) -> Option<Time> {
+        let is_watch = self
+            .upstreams
+            .pending
+            .is_some_and(|pending| pending.is_watch);
+        self.roster.next_expiry().filter(|_| is_watch)
     }
 
-    /// When one that hears from others asks of an entry that is missing, since those are silent about it.
-    fn missed_lapse(&self) -> Option<Time> {
-        Some(self.roster.next_expiry()?.after(REORDER_MS))
+    /// When a follower reads the store about a missing entry, as its peers do not mention it.
+    fn missed_expiry(&self) -> Option<Time> {
+        Some(self.roster.next_expiry()?.after(REORDER_WINDOW_MS))
     }
 
-    fn line(&self, topic: Topic) -> &StoreCalls {
+    fn topic_calls(&self, topic: Topic) -> &StoreCalls {
         match topic {
             Topic::Configuration => &self.configuration,
             Topic::Upstreams => &self.upstreams,
         }
     }
 
-    fn line_mut(&mut self, topic: Topic) -> &mut StoreCalls {
+    fn topic_calls_mut(&mut self, topic: Topic) -> &mut StoreCalls {
         match topic {
             Topic::Configuration => &mut self.configuration,
             Topic::Upstreams => &mut self.upstreams,
         }
     }
 
-    /// Whether it hears of a topic from others: what was never read is read first.
+    /// Whether a topic is followed through other instances; what was never read is read first.
     fn follows(&self, topic: Topic) -> bool {
         let known = match topic {
-            Topic::Configuration => self.in_force.is_some(),
+            Topic::Configuration => self.active_revision.is_some(),
             Topic::Upstreams => self.upstreams.position.is_some(),
         };
         self.role.follows() && known
     }
 
-    /// Whether others have a newer configuration.
-    fn lacks_configuration(&self) -> bool {
-        self.heard.configuration > self.in_force
+    /// Whether peers have a newer configuration.
+    fn is_configuration_behind(&self) -> bool {
+        self.peer_state.configuration > self.active_revision
     }
 
-    fn answered(&mut self, id: u64, answer: Answer, now: Time) {
+    fn handle_answer(&mut self, id: u64, answer: Answer, now: Time) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        let confirms = self.line(call.topic).out.is_some_and(|out| out.confirms);
-        self.line_mut(call.topic).record_success();
+        let confirms = self
+            .topic_calls(call.topic)
+            .pending
+            .is_some_and(|pending| pending.confirms);
+        self.topic_calls_mut(call.topic).record_success();
         match answer {
-            Answer::Compacted => self.line_mut(call.topic).forget(now),
+            Answer::Compacted => self.topic_calls_mut(call.topic).record_compaction(now),
             Answer::Complete(_, position) if self.is_outdated(call, position) => {
-                let line = self.line_mut(call.topic);
-                line.position = None;
-                line.ready = now;
+                let calls = self.topic_calls_mut(call.topic);
+                calls.position = None;
+                calls.not_before = now;
                 self.outputs.push(Output::Outdated(call.topic));
             }
             Answer::Complete(Content::Configuration { bytes, config }, position) => {
-                self.take_configuration(call, bytes, config, position, now);
+                self.handle_configuration(call, bytes, config, position, now);
             }
             Answer::Complete(Content::Upstreams(changes), position) => {
-                self.take_upstreams(call, changes, position, now);
+                self.handle_upstreams(call, changes, position, now);
             }
         }
         let topic = call.topic;
-        let Some(to) = self.line(topic).position else {
+        let Some(to) = self.topic_calls(topic).position else {
             return;
         };
         if call.since.is_some() {
-            self.line_mut(topic).remember();
+            self.topic_calls_mut(topic).record_changes();
         }
-        self.line_mut(topic).confirmed = now;
+        self.topic_calls_mut(topic).confirmed = now;
         if confirms && self.rank.count > 1 {
             self.outputs.push(Output::Confirm(Confirmed { to, topic }));
         }
     }
 
-    /// Whether an answer says nothing of the store as it is: it is of an earlier era, or it tells changes behind a position that
-    /// the store's history does not have any more. Reads that may be old are ordered by what they bring.
+    /// Whether an answer does not describe the present store: it is of an earlier era, or lists changes since a
+    /// position that is no longer in the store's history. Serializable reads are ordered by their content instead.
     fn is_outdated(&self, call: Call, position: Position) -> bool {
         let behind = call.since.is_some_and(|since| since.era != position.era);
         call.consistency == Consistency::Linearizable && (position.era < self.era || behind)
     }
 
-    /// The store has come back from a copy: positions of before say nothing of what is to be asked for, calls that wait for
-    /// changes behind them are ended, and all is read again. A watch that went on from such a position missed what the store
-    /// wrote up to it anew, and an upstream that left there was given work for 7 s and more.
-    fn enter(&mut self, era: u64, now: Time) {
+    /// Enters a new era: the store was restored from a backup. Earlier positions are void, watches since them are
+    /// cancelled, and everything is read again. A watch that continued from such a position missed what the store
+    /// wrote again up to it, and an upstream that left then got work for 7 s and more.
+    fn enter_era(&mut self, era: u64, now: Time) {
         if era <= self.era {
             return;
         }
         let first = self.upstreams.position.is_none() && self.configuration.position.is_none();
         self.era = era;
-        if first && self.in_force.is_none() {
+        if first && self.active_revision.is_none() {
             return;
         }
         self.outputs.push(Output::Era(era));
         for topic in [Topic::Configuration, Topic::Upstreams] {
-            if self.line(topic).out.is_some_and(|out| out.changes) {
-                self.end(topic, CancelReason::StoreRestored);
+            if self
+                .topic_calls(topic)
+                .pending
+                .is_some_and(|pending| pending.is_incremental)
+            {
+                self.cancel(topic, CancelReason::StoreRestored);
             }
-            self.line_mut(topic).begin_again(now);
+            self.topic_calls_mut(topic).reset_for_era(now);
         }
-        self.read = None;
-        self.steady = None;
-        self.gap = None;
-        self.early.clear();
+        self.pending_read = None;
+        self.peer_uptime = None;
+        self.gap_since = None;
+        self.early_updates.clear();
     }
 
-    fn take_configuration(
+    fn handle_configuration(
         &mut self,
         call: Call,
         bytes: usize,
@@ -318,15 +342,17 @@
     ) {
         let followed = self.follows(Topic::Configuration);
         if let Some(config) = config {
-            self.bytes = bytes;
-            self.adopt(config);
+            self.config_bytes = bytes;
+            self.apply_configuration(config);
         }
         if followed {
             // The next watch must begin with a read.
             self.configuration.position = None;
-            self.read = match self.read {
-                Some((step, _)) if self.lacks_configuration() && step < READS_MS.len() => {
-                    let pause = READS_MS.get(step + 1).copied().unwrap_or(0);
+            self.pending_read = match self.pending_read {
+                Some((step, _))
+                    if self.is_configuration_behind() && step < READ_PAUSES_MS.len() =>
+                {
+                    let pause = READ_PAUSES_MS.get(step + 1).copied().unwrap_or(0);
                     Some((step + 1, now.after(pause)))
                 }
                 _ => None,
@@ -336,20 +362,21 @@
         }
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
-    fn adopt(&mut self, config: Arc<Config>) {
-        if Some(config.revision) <= self.in_force {
+    /// Puts a configuration in force, unless it is older than the present one.
+    fn apply_configuration(&mut self, config: Arc<Config>) {
+        if Some(config.revision) <= self.active_revision {
             return;
         }
-        self.in_force = Some(config.revision);
+        self.active_revision = Some(config.revision);
         self.outputs.push(Output::Configuration(config));
-        // A deputy may have read it since the one that watches is silent; others would hear of it a second later.
+        // A standby may have read it while the watcher is silent; otherwise its peers would learn of it a second
+        // later.
         if matches!(self.role, Role::Standby | Role::Watcher) {
             self.outputs.push(Output::AnnounceConfiguration);
         }
     }
 
-    fn take_upstreams(
+    fn handle_upstreams(
         &mut self,
         call: Call,
         mut changes: Vec<Change>,
@@ -357,192 +384,197 @@
         now: Time,
     ) {
         let known = self.upstreams.position.unwrap_or_default();
-        let away = self.own_away();
+        let outage = self.own_outage();
         let first = self.upstreams.position.is_none();
-        // Before entries go by what is taken in.
-        if let Some(until) = self.absence.reregistered_by(self.steady) {
+        // Before the answer removes entries.
+        if let Some(until) = self.availability.reregistered_by(self.peer_uptime) {
             self.roster.extend_grace(until);
         }
         if call.since.is_none() {
-            self.roster.replace_all(&changes, position, away, now);
+            self.roster.replace_all(&changes, position, outage, now);
         } else {
-            // Others may have told some of them while the call was out.
+            // Peers may have announced some of them during the call.
             changes.retain(|change| change.position > known);
-            self.roster.apply_changes(changes, away, now);
+            self.roster.apply_changes(changes, outage, now);
         }
         self.upstreams.position = Some(position.max(known));
-        self.fresh = now;
-        self.gap = None;
-        self.early.clear();
-        self.list(now);
-        let tells = match self.role {
+        self.refreshed_at = now;
+        self.gap_since = None;
+        self.early_updates.clear();
+        self.emit_upstreams(now);
+        let announces = match self.role {
             Role::Watcher => true,
             Role::Standby => !first,
             Role::Independent | Role::Follower => false,
         };
-        if tells {
-            let words =
-                self.roster
-                    .pending_updates(position.max(known), self.absence.uptime_ms(), now);
+        if announces {
+            let updates = self.roster.pending_updates(
+                position.max(known),
+                self.availability.uptime_ms(),
+                now,
+            );
             self.outputs
-                .extend(words.into_iter().map(Output::AnnounceRoster));
+                .extend(updates.into_iter().map(Output::AnnounceRoster));
         }
         if first {
-            // The others know nothing of what was just read.
+            // Peers know nothing of what was just read.
             self.roster.set_announced(position);
         }
-        self.upstreams.ready = now.after(self.gather_ms());
+        self.upstreams.not_before = now.after(self.batch_pause_ms());
     }
 
-    /// Whether the store may have been away for all in a span that another instance tells: nobody was served meanwhile, or it was so
-    /// by this instance's own account. Two absences in series are one by that, with an answer in between.
-    fn shares(&self, away: Span, now: Time) -> bool {
-        let own = self.own_away();
-        let unanswered = self.absence.last_unanswered();
-        self.served.is_shared_outage(away, now)
-            || own.is_some_and(|own| self.absence.overlaps_outage(own, away))
-            || unanswered.is_some_and(|at| (away.from..away.to).contains(&at))
+    /// Whether the store may have been down for every instance in a span that a peer reports: nobody was served
+    /// meanwhile, or this instance saw the same outage. Two consecutive outages with one answer in between count as
+    /// one for this purpose.
+    fn is_shared_outage(&self, outage: Span, now: Time) -> bool {
+        let own = self.own_outage();
+        let unanswered = self.availability.last_unanswered();
+        self.fleet_availability.is_shared_outage(outage, now)
+            || own.is_some_and(|own| self.availability.overlaps_outage(own, outage))
+            || unanswered.is_some_and(|at| (outage.from..outage.to).contains(&at))
     }
 
-    /// When the store was away by this instance's own account, unless others tell that it was there: entries do not go for want
-    /// of it then. An instance that was refused or cut off while others were served would believe an upstream that left for two
-    /// seconds more, from its own first answer on.
-    fn own_away(&self) -> Option<Span> {
-        let away = self.absence.outage()?;
-        match self.steady {
-            Some(steady) => self.absence.exclude_uptime(away, steady),
-            None => Some(away),
+    /// The outage that this instance saw, without the part in which peers report that the store was up: no entry
+    /// expires then. Otherwise an instance that was refused or cut off while others were served would keep an upstream
+    /// that left for two more seconds, counted from its own first answer.
+    fn own_outage(&self) -> Option<Span> {
+        let outage = self.availability.outage()?;
+        match self.peer_uptime {
+            Some(uptime) => self.availability.exclude_uptime(outage, uptime),
+            None => Some(outage),
         }
     }
 
     /// Pause before the next watch of the list, in milliseconds.
-    fn gather_ms(&self) -> u64 {
+    fn batch_pause_ms(&self) -> u64 {
         if self.role == Role::Watcher {
             return self.bound.pause_ms();
         }
-        let longest = (self.leave_ms / 2).max(GATHER_LEAST_MS);
-        (GATHER_EACH_MS * self.entries as u64).clamp(GATHER_LEAST_MS, longest)
+        let longest = (self.leave_ms / 2).max(BATCH_MIN_MS);
+        (BATCH_PER_UPSTREAM_MS * self.entry_count as u64).clamp(BATCH_MIN_MS, longest)
     }
 
-    fn list(&mut self, now: Time) {
+    fn emit_upstreams(&mut self, now: Time) {
         for name in self.roster.take_new_missing() {
-            let believed_ms = self.roster.grace_ms(now);
-            self.outputs.push(Output::MissingEntry(name, believed_ms));
+            let grace_ms = self.roster.grace_ms(now);
+            self.outputs.push(Output::MissingEntry(name, grace_ms));
         }
         self.roster.remove_expired(now);
         let listed = self.roster.listed();
-        self.entries = listed.len();
+        self.entry_count = listed.len();
         self.outputs.push(Output::Upstreams(listed));
     }
 
-    fn failed(&mut self, id: u64, now: Time) {
+    fn handle_failure(&mut self, id: u64, now: Time) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        self.fail(call.topic, now);
+        self.record_failure(call.topic, now);
     }
 
-    fn fail(&mut self, topic: Topic, now: Time) {
-        let (absence, bound) = (self.absence, self.bound);
-        let urgent = topic == Topic::Configuration && self.in_force.is_none();
-        self.line_mut(topic)
-            .record_failure(urgent, &absence, bound, now);
+    fn record_failure(&mut self, topic: Topic, now: Time) {
+        let (availability, bound) = (self.availability, self.bound);
+        let urgent = topic == Topic::Configuration && self.active_revision.is_none();
+        self.topic_calls_mut(topic)
+            .record_failure(urgent, &availability, bound, now);
         match topic {
-            Topic::Configuration => self.read = None,
+            Topic::Configuration => self.pending_read = None,
             Topic::Upstreams => {
-                self.fresh = now;
-                self.gap = None;
-                self.early.clear();
+                self.refreshed_at = now;
+                self.gap_since = None;
+                self.early_updates.clear();
             }
         }
     }
 
-    fn hear(&mut self, heard: PeerReport, now: Time) {
-        let confirmed = heard.confirmed.map(|confirmed| confirmed.to.era);
-        let word = heard.update.as_ref().map(|word| word.to.era);
-        let newest = confirmed.into_iter().chain(word).max();
-        self.enter(newest.unwrap_or(0).max(heard.list.era), now);
-        self.heard.configuration = self.heard.configuration.max(heard.configuration);
-        self.heard.list = self.heard.list.max(heard.list);
-        if let Some(confirmed) = heard.confirmed {
-            self.hear_confirmed(confirmed, &heard, now);
+    fn handle_report(&mut self, report: PeerReport, now: Time) {
+        let confirmed = report.confirmed.map(|confirmed| confirmed.to.era);
+        let update = report.update.as_ref().map(|update| update.to.era);
+        let newest = confirmed.into_iter().chain(update).max();
+        self.enter_era(newest.unwrap_or(0).max(report.list.era), now);
+        self.peer_state.configuration = self.peer_state.configuration.max(report.configuration);
+        self.peer_state.list = self.peer_state.list.max(report.list);
+        if let Some(confirmed) = report.confirmed {
+            self.handle_confirmation(confirmed, &report, now);
         }
-        let Some(word) = heard.update else {
+        let Some(update) = report.update else {
             return;
         };
-        self.word = now;
-        self.hear_steady(&word, now);
+        self.last_heard = now;
+        self.record_peer_uptime(&update, now);
         if !self.follows(Topic::Upstreams) {
             return;
         }
-        let away = word.away(now);
-        self.roster.is_store_down = away.is_some_and(|away| self.shares(away, now));
-        if let Some(away) = away.filter(|_| self.roster.is_store_down) {
+        let outage = update.outage(now);
+        self.roster.is_store_down = outage.is_some_and(|outage| self.is_shared_outage(outage, now));
+        if let Some(outage) = outage.filter(|_| self.roster.is_store_down) {
             self.roster
-                .note_peer_return(away, self.absence.last_unanswered());
+                .note_peer_return(outage, self.availability.last_unanswered());
         }
         let known = self.upstreams.position.unwrap_or_default();
-        match self.roster.apply_update(&word, known, now) {
+        match self.roster.apply_update(&update, known, now) {
             UpdateOutcome::Applied => {
-                if away.is_none() {
-                    self.served.record_success(now);
+                if outage.is_none() {
+                    self.fleet_availability.record_success(now);
                 }
-                let all = self.roster.catch_up(word.to, &mut self.early, now);
-                self.upstreams.position = Some(all);
-                // Who told it told the others too.
-                self.roster.set_announced(all);
-                if self.early.is_empty() {
-                    self.fresh = now;
-                    self.gap = None;
+                let known = self
+                    .roster
+                    .catch_up(update.to, &mut self.early_updates, now);
+                self.upstreams.position = Some(known);
+                // The sender announced it to the other instances too.
+                self.roster.set_announced(known);
+                if self.early_updates.is_empty() {
+                    self.refreshed_at = now;
+                    self.gap_since = None;
                 }
-                self.list(now);
+                self.emit_upstreams(now);
             }
             UpdateOutcome::Gap => {
-                self.early.push(word);
-                self.gap.get_or_insert(now);
+                self.early_updates.push(update);
+                self.gap_since.get_or_insert(now);
             }
             UpdateOutcome::Stale => {}
         }
     }
 
-    /// Takes in for how long the store had not been away for another instance when it answered that one.
-    fn hear_steady(&mut self, word: &RosterUpdate, now: Time) {
-        if word.uptime_ms == 0 || word.to.era < self.era {
+    /// Records how long the store had been available to a peer when it answered that peer.
+    fn record_peer_uptime(&mut self, update: &RosterUpdate, now: Time) {
+        if update.uptime_ms == 0 || update.to.era < self.era {
             return;
         }
-        let mut steady = Span {
-            from: now.before(word.uptime_ms),
+        let mut uptime = Span {
+            from: now.before(update.uptime_ms),
             to: now,
         };
-        if let Some(before) = self.steady.filter(|before| before.to >= steady.from) {
-            steady.from = steady.from.min(before.from);
+        if let Some(before) = self.peer_uptime.filter(|before| before.to >= uptime.from) {
+            uptime.from = uptime.from.min(before.from);
         }
-        self.steady = Some(steady);
+        self.peer_uptime = Some(uptime);
         if self.role.follows() {
-            self.roster.shorten_outage(steady, &self.absence, now);
+            self.roster.shorten_outage(uptime, &self.availability, now);
         }
     }
 
-    /// Takes in what the store has just shown another instance, unless more was known here before.
-    fn hear_confirmed(&mut self, confirmed: Confirmed, heard: &PeerReport, now: Time) {
+    /// Handles a confirmation from a peer, unless this instance already knows more.
+    fn handle_confirmation(&mut self, confirmed: Confirmed, report: &PeerReport, now: Time) {
         let topic = confirmed.topic;
         let (newest, same) = match topic {
             Topic::Configuration => (
-                heard.configuration >= self.in_force,
-                heard.configuration == self.in_force,
+                report.configuration >= self.active_revision,
+                report.configuration == self.active_revision,
             ),
             Topic::Upstreams => (
-                confirmed.to >= self.roster.changed,
-                Some(heard.list) <= self.upstreams.position,
+                confirmed.to >= self.roster.last_change,
+                Some(report.list) <= self.upstreams.position,
             ),
         };
         if !newest {
             return;
         }
-        let line = self.line_mut(topic);
-        line.told = now;
+        let calls = self.topic_calls_mut(topic);
+        calls.last_confirmation = now;
         if same {
-            line.confirmed = now;
+            calls.confirmed = now;
         }
     }
 
@@ -553,136 +585,151 @@
         let followed = self.role.follows();
         self.role = role;
         for topic in [Topic::Configuration, Topic::Upstreams] {
-            if self.line(topic).out.is_some_and(|out| out.changes) {
-                self.end(topic, CancelReason::RoleChanged);
+            if self
+                .topic_calls(topic)
+                .pending
+                .is_some_and(|pending| pending.is_incremental)
+            {
+                self.cancel(topic, CancelReason::RoleChanged);
             }
         }
         if followed && !role.follows() {
             self.configuration.position = None;
         }
         if !followed {
-            self.asked = now;
-            self.fresh = now;
+            self.read_at = now;
+            self.refreshed_at = now;
         }
-        self.read = None;
-        self.gap = None;
-        self.early.clear();
+        self.pending_read = None;
+        self.gap_since = None;
+        self.early_updates.clear();
     }
 
-    /// Ends the call of a topic that is out.
-    fn end(&mut self, topic: Topic, why: CancelReason) {
-        let Some(out) = self.line_mut(topic).out.take() else {
+    /// Cancels the pending call of a topic.
+    fn cancel(&mut self, topic: Topic, reason: CancelReason) {
+        let Some(pending) = self.topic_calls_mut(topic).pending.take() else {
             return;
         };
-        if let Some(call) = self.calls.remove(&out.id) {
-            self.outputs.push(Output::Cancel(call, why));
+        if let Some(call) = self.calls.remove(&pending.id) {
+            self.outputs.push(Output::Cancel(call, reason));
         }
     }
 
-    /// Does what is due.
-    fn settle(&mut self, now: Time) {
-        if self.lapse().is_some_and(|lapse| lapse <= now) {
-            // What is missing is given up by what the store says, and not by the clock.
-            self.end(Topic::Upstreams, CancelReason::EntryExpired);
+    /// Performs everything that is due.
+    fn run_due(&mut self, now: Time) {
+        if self.entry_expiry().is_some_and(|expiry| expiry <= now) {
+            // A missing entry is removed on evidence from the store, not on a timer alone.
+            self.cancel(Topic::Upstreams, CancelReason::EntryExpired);
             self.upstreams.answered = false;
         }
-        let more = self.lacks_configuration() && !self.follows(Topic::Configuration);
-        self.configuration.compare(more, now);
-        let more = Some(self.heard.list) > self.upstreams.position;
-        self.upstreams.compare(more, now);
-        if self.follows(Topic::Configuration) && self.lacks_configuration() && self.read.is_none() {
-            let at = self.configuration.next_call_at(&self.absence).max(now);
-            self.read = Some((0, at.after(READS_MS[0])));
+        let is_behind = self.is_configuration_behind() && !self.follows(Topic::Configuration);
+        self.configuration.set_behind(is_behind, now);
+        let is_behind = Some(self.peer_state.list) > self.upstreams.position;
+        self.upstreams.set_behind(is_behind, now);
+        if self.follows(Topic::Configuration)
+            && self.is_configuration_behind()
+            && self.pending_read.is_none()
+        {
+            let at = self.configuration.next_call_at(&self.availability).max(now);
+            self.pending_read = Some((0, at.after(READ_PAUSES_MS[0])));
         }
         for topic in [Topic::Configuration, Topic::Upstreams] {
-            if self.unconfirmed(topic).is_some_and(|at| at <= now) {
-                self.end(topic, CancelReason::Unconfirmed);
-                self.line_mut(topic).answered = false;
+            if self.unconfirmed_at(topic).is_some_and(|at| at <= now) {
+                self.cancel(topic, CancelReason::Unconfirmed);
+                self.topic_calls_mut(topic).answered = false;
             }
-            if let Some((at, why)) = self.line(topic).hopeless(&self.absence)
+            if let Some((at, reason)) = self.topic_calls(topic).abandon_at(&self.availability)
                 && at <= now
             {
-                self.end(topic, why);
-                self.fail(topic, now);
-                if topic == Topic::Configuration && why == CancelReason::PeersAhead {
-                    // A read brings the newest whatever became of the watch.
+                self.cancel(topic, reason);
+                self.record_failure(topic, now);
+                if topic == Topic::Configuration && reason == CancelReason::PeersAhead {
+                    // A read returns the newest state whatever became of the watch.
                     self.configuration.position = None;
                 }
             }
-            if self.line(topic).out.is_none() && self.due(topic) <= now {
-                self.ask(topic, now);
+            if self.topic_calls(topic).pending.is_none() && self.due(topic) <= now {
+                self.start_call(topic, now);
             }
         }
     }
 
-    /// When the next call of a topic is due, if none is out.
+    /// When the next call of a topic is due if none is pending.
     fn due(&self, topic: Topic) -> Time {
-        let may = self.line(topic).next_call_at(&self.absence);
+        let next_call_at = self.topic_calls(topic).next_call_at(&self.availability);
         if !self.follows(topic) {
             return match topic {
-                Topic::Configuration => may,
-                // Changes gather no longer than entries that are missing are believed.
-                Topic::Upstreams if self.upstreams.has_failed() => may,
+                Topic::Configuration => next_call_at,
+                // Batching lasts no longer than the grace period of missing entries.
+                Topic::Upstreams if self.upstreams.has_failed() => next_call_at,
                 Topic::Upstreams => self
                     .roster
                     .next_expiry()
-                    .map_or(may, |lapse| may.min(lapse)),
+                    .map_or(next_call_at, |expiry| next_call_at.min(expiry)),
             };
         }
         let silence = self.bound.silence_ms(self.role);
-        let wanted = match topic {
-            Topic::Configuration => match self.read {
+        let due_at = match topic {
+            Topic::Configuration => match self.pending_read {
                 Some((_, at)) => at,
-                None => self.word.max(self.asked).after(silence),
+                None => self.last_heard.max(self.read_at).after(silence),
             },
             Topic::Upstreams => {
-                let silent = self.fresh.after(silence);
-                let missed = self.gap.map(|gap| gap.after(REORDER_MS));
-                let sooner = missed.into_iter().chain(self.missed_lapse());
-                sooner.fold(silent, Time::min)
+                let on_silence = self.refreshed_at.after(silence);
+                let on_gap = self
+                    .gap_since
+                    .map(|gap_since| gap_since.after(REORDER_WINDOW_MS));
+                let sooner = on_gap.into_iter().chain(self.missed_expiry());
+                sooner.fold(on_silence, Time::min)
             }
         };
-        wanted.max(may)
+        due_at.max(next_call_at)
     }
 
-    /// Wait of the instance that shows the others that nothing has changed, in milliseconds: with the pause before it
-    /// the time between two such calls.
+    /// Wait of the instance that sends confirmations, in milliseconds: with the pause before it, the interval between
+    /// two such calls.
     fn confirm_wait_ms(&self, topic: Topic) -> u64 {
         let pause = match topic {
             Topic::Configuration => 0,
-            Topic::Upstreams => self.gather_ms(),
+            Topic::Upstreams => self.batch_pause_ms(),
         };
         let wait = self.bound.confirm_ms().saturating_sub(pause);
-        wait.max(WAIT_LEAST_MS)
+        wait.max(WAIT_MIN_MS)
     }
 
-    fn ask(&mut self, topic: Topic, now: Time) {
-        let line = self.line(topic);
+    fn start_call(&mut self, topic: Topic, now: Time) {
+        let calls = self.topic_calls(topic);
         let follows = self.follows(topic);
         let since = match topic {
             Topic::Configuration if follows => None,
-            Topic::Configuration | Topic::Upstreams => line.position,
+            Topic::Configuration | Topic::Upstreams => calls.position,
         };
-        // Behind a call that was not answered no change is waited for: one that a silent store takes is never answered.
-        let missing = topic == Topic::Upstreams
-            && self.roster.next_expiry().is_some_and(|lapse| lapse <= now);
-        let doubtful = self
+        // After an unanswered call no watch is started: a silent store may accept it and never answer.
+        let is_entry_expired = topic == Topic::Upstreams
+            && self
+                .roster
+                .next_expiry()
+                .is_some_and(|expiry| expiry <= now);
+        let is_unconfirmed = self
             .confirmed_until(topic)
             .is_some_and(|until| until <= now);
-        let waits = since.is_some() && line.answered && !follows && !missing && !doubtful;
+        let is_watch =
+            since.is_some() && calls.answered && !follows && !is_entry_expired && !is_unconfirmed;
         let confirms = self.confirms(topic, now);
         let wait_ms = match (topic, self.role) {
-            _ if !waits => 0,
+            _ if !is_watch => 0,
             _ if confirms => self.confirm_wait_ms(topic),
             (Topic::Configuration, _) | (Topic::Upstreams, Role::Independent) => WAIT_MS,
-            // The others are to hear at least that nothing has changed.
+            // Followers need at least the confirmation that nothing has changed.
             (Topic::Upstreams, Role::Standby | Role::Follower | Role::Watcher) => {
                 self.bound.wait_ms()
             }
         };
-        let consistency = match (topic, self.read) {
+        let consistency = match (topic, self.pending_read) {
             (Topic::Configuration, Some((step, _)))
-                if follows && step < READS_MS.len() && self.bytes < LARGE =>
+                if follows
+                    && step < READ_PAUSES_MS.len()
+                    && self.config_bytes < LARGE_CONFIG_BYTES =>
             {
                 Consistency::Serializable
             }
@@ -691,30 +738,30 @@
         let call = Call {
             consistency,
             id: self.next_call,
-            is_retry: line.has_failed(),
+            is_retry: calls.has_failed(),
             since,
-            timeout_ms: line.timeout_ms,
+            timeout_ms: calls.timeout_ms,
             topic,
             wait_ms,
         };
         self.next_call += 1;
         if follows {
             match topic {
-                Topic::Configuration => self.asked = now,
+                Topic::Configuration => self.read_at = now,
                 Topic::Upstreams => {
                     let known = self.upstreams.position.unwrap_or_default();
                     self.roster.set_announced(known);
                 }
             }
         }
-        let out = store_calls::Out {
+        let pending = store_calls::PendingCall {
             began: now,
             confirms,
             id: call.id,
-            changes: since.is_some(),
-            waits: wait_ms > 0,
+            is_incremental: since.is_some(),
+            is_watch: wait_ms > 0,
         };
-        self.line_mut(topic).out = Some(out);
+        self.topic_calls_mut(topic).pending = Some(pending);
         self.calls.insert(call.id, call);
         self.outputs.push(Output::Call(call));
     }
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -1,130 +1,134 @@
-//! The upstreams as the platform's store lists them, and their changes as instances tell them.
+//! The list of upstreams as the store holds it, and its changes as instances announce them to each other.
 
 use super::*;
 
-/// Size of the changes in one word, in bytes; a datagram with it stays below what a link carries in one piece.
-const PIECE: usize = 1_200;
+/// Maximum size of the changes in one update, in bytes, so that its datagram is not fragmented.
+const UPDATE_BYTES: usize = 1_200;
 
-/// Size of a change beside its texts, in bytes.
-const CHANGE: usize = 44;
+/// Encoded size of a change without its strings, in bytes.
+const CHANGE_BYTES: usize = 44;
 
-/// What became of an upstream's entry.
+/// State of an upstream's entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Entry {
-    /// It went.
+    /// It was deleted or its lease expired.
     Deleted,
+    /// It was written and names no usable upstream, for instance by another writer: the upstream of this name gets no
+    /// new work.
+    Invalid,
     /// It was written.
     Listed(Listed),
-    /// It was written and names no upstream to use, as another writer's: the one under this name gets no new work.
-    Invalid,
 }
 
-/// Time that a datagram may take, in milliseconds: who hears that an entry is missing counts from then on.
-const HOP_MS: u64 = 50;
+/// Time that a datagram may take, in milliseconds, allowed for where a peer's report of a missing entry counts from
+/// its arrival.
+const DATAGRAM_DELAY_MS: u64 = 50;
 
-/// Time between two returns of the store of which the second ends another absence, in milliseconds: two heartbeats of
-/// upstreams, the shortest in which entries may go. Instances see one return less than that apart.
-const ANOTHER_MS: u64 = 2_400;
+/// Minimum time between two returns of the store for the second to end a distinct outage, in milliseconds: two
+/// heartbeats of upstreams, the shortest outage in which entries may expire. Instances see one return less than that
+/// apart.
+const DISTINCT_RETURN_MS: u64 = 2_400;
 
-/// The same of two returns that this instance saw itself, in milliseconds: a little more than entries are believed behind
-/// the first. Two refusals of 2.2 and 1.9 s, 0.2 s apart, else had living upstreams given up.
-const ANOTHER_OWN_MS: u64 = 2_100;
+/// The same for two returns that this instance saw itself, in milliseconds: slightly more than the grace period after
+/// the first. Otherwise two refusals of 2.2 and 1.9 s, 0.2 s apart, had living upstreams removed.
+const DISTINCT_OWN_RETURN_MS: u64 = 2_100;
 
-/// Time for which it is remembered that a life left or went, in milliseconds: copies from which the store comes back are
-/// seconds old, and upstreams that left are gone within minutes.
-const LEFT_MS: u64 = 600_000;
+/// Time for which departures are remembered, in milliseconds: backups that the store is restored from are seconds old,
+/// and upstreams that leave are gone within minutes.
+const DEPARTURE_MEMORY_MS: u64 = 600_000;
 
-/// Lives of which that is remembered, at most: all upstreams of the largest fleet designed for, replaced once. Of more the
-/// oldest is forgotten.
-const LEFT_MOST: usize = 2_200;
+/// Maximum number of remembered departures: all upstreams of the largest supported fleet, replaced once. Beyond it the
+/// oldest is dropped.
+const DEPARTURES_MAX: usize = 2_200;
 
-/// One change of the list.
+/// A change of the list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
     /// The entry as it is now.
     pub entry: Entry,
     /// Name of the upstream.
     pub name: String,
-    /// Where it stands in the store's history.
+    /// Position of the change in the store's history.
     pub position: Position,
 }
 
-/// What an instance tells others of the list.
+/// Changes of the list that one instance announces to others.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RosterUpdate {
-    /// For how long the store was away before, in milliseconds; with `grace_ms`, else 0.
-    pub outage_ms: u64,
-    /// In the order of their positions.
+    /// Changes in the order of their positions.
     pub changes: Vec<Change>,
-    /// Position behind which the changes begin.
+    /// Position after which the changes begin.
     pub from: Position,
-    /// Whether entries that go are believed for longer than behind one absence, since the store was away again soon.
-    pub is_grace_extended: bool,
-    /// Time for which entries that go are still believed, in milliseconds: the store was away.
+    /// Remaining grace period of missing entries after an outage of the store, in milliseconds; 0 for none.
     pub grace_ms: u64,
-    /// For how long the store had not been away for who tells it, in milliseconds.
-    pub uptime_ms: u64,
-    /// Position up to which they are told.
+    /// Whether the grace period was extended because the store was down again soon.
+    pub is_grace_extended: bool,
+    /// Duration of the store's latest outage, in milliseconds; 0 if `grace_ms` is.
+    pub outage_ms: u64,
+    /// Position up to which the changes are complete.
     pub to: Position,
+    /// How long the store had been available to the sender, in milliseconds.
+    pub uptime_ms: u64,
 }
 
-/// What word from another instance is worth.
+/// Effect of an update from a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpdateOutcome {
-    /// The list is known up to its position.
+    /// The list is now known up to the update's position.
     Applied,
     /// Changes before it are missing.
     Gap,
-    /// More is known already.
+    /// This instance already knows more.
     Stale,
 }
 
-/// Upstreams by their names.
+/// The known upstreams by name.
 #[derive(Debug, Default)]
 pub struct Roster {
-    /// Whether the store was away for this instance too. One that it answers knows that entries which go
-    /// missing have not lapsed for want of a store, whatever those that were refused tell.
-    pub is_store_down: bool,
-    /// Position of the last change that is known.
-    pub changed: Position,
+    /// Position up to which changes were announced; `None` before the first announcement.
+    announced: Option<Position>,
+    /// Incarnations that recently left or were deleted.
+    departures: BTreeMap<Incarnation, Departure>,
     entries: BTreeMap<String, Listed>,
-    /// When the store was away last.
-    absent: Option<Span>,
-    /// Whether the end of that was put off, since the store was away again soon.
-    held: bool,
-    /// Whether another instance told of that.
-    hearsay: bool,
-    /// Lives that left or went of late.
-    left: BTreeMap<Incarnation, Left>,
-    /// Entries that are missing and are believed, since they may have gone while the store was away.
-    lapsing: BTreeSet<String>,
-    /// Those that are new among them.
-    new_lapsing: Vec<String>,
-    /// Where the entries were written that are listed.
-    places: BTreeMap<String, Position>,
-    /// The newest position that anything was known at.
-    seen: Position,
-    /// Lives whose entries another writer wrote over.
-    spoilt: BTreeMap<String, Incarnation>,
-    /// Changes not yet told to other instances.
-    untold: Vec<Change>,
-    /// Position up to which other instances were told; `None` before the first time.
-    told: Option<Position>,
+    /// Whether the grace period was extended because the store was down again soon.
+    is_grace_extended: bool,
+    /// Whether a peer reported the outage.
+    is_outage_reported: bool,
+    /// Whether the store was down for this instance too. If it answers here, missing entries have not expired for want
+    /// of a store, whatever instances report that it refused.
+    pub is_store_down: bool,
+    /// Position of the last known change.
+    pub last_change: Position,
+    /// Latest outage of the store.
+    last_outage: Option<Span>,
+    /// Missing entries in their grace period: they may have expired while the store was down.
+    missing: BTreeSet<String>,
+    /// Names added to `missing` and not yet reported.
+    new_missing: Vec<String>,
+    /// Newest position of anything known.
+    newest_seen: Position,
+    /// Incarnations whose entries another writer overwrote.
+    overwritten: BTreeMap<String, Incarnation>,
+    /// Positions at which the listed entries were written.
+    positions: BTreeMap<String, Position>,
+    /// Changes not yet announced to other instances.
+    unannounced: Vec<Change>,
 }
 
-/// A life that left or went, as the store showed it. A copy from before may show it as it was.
+/// Departure of an incarnation as the store showed it; a store restored from an older backup may show the state
+/// before.
 #[derive(Clone, Copy, Debug)]
-struct Left {
+struct Departure {
     at: Time,
-    /// Whether it said that it leaves.
+    /// Whether the upstream announced that it is leaving, rather than being deleted.
     leaving: bool,
-    /// Position up to which that was known.
+    /// Position up to which this was known.
     to: Position,
 }
 
 impl RosterUpdate {
-    /// When the store was away for who told it, if entries that went then are still believed.
-    pub fn away(&self, now: Time) -> Option<Span> {
+    /// The store's outage as the sender saw it, if its grace period has not ended.
+    pub fn outage(&self, now: Time) -> Option<Span> {
         if self.grace_ms == 0 {
             return None;
         }
@@ -135,347 +139,360 @@
 }
 
 impl Roster {
-    /// Takes in what an instance that watches told; the list is known up to `known`.
+    /// Applies an update from a watcher; the list is known up to `known`.
     pub fn apply_update(
         &mut self,
-        word: &RosterUpdate,
+        update: &RosterUpdate,
         known: Position,
         now: Time,
     ) -> UpdateOutcome {
-        // Also where changes before it are missing: who reads them itself would else count the absence from its own first answer.
+        // Also with missing changes before it: an instance that reads those itself would otherwise count the outage
+        // from its own first answer.
         if self.is_store_down {
-            let heard = word.away(now);
-            self.believe(heard, ANOTHER_MS);
-            self.hearsay |= heard.is_some();
-            if word.is_grace_extended {
-                // Upstreams could not enter themselves meanwhile.
-                self.extend_grace(now.after(word.grace_ms));
+            let reported = update.outage(now);
+            self.record_outage(reported, DISTINCT_RETURN_MS);
+            self.is_outage_reported |= reported.is_some();
+            if update.is_grace_extended {
+                // Upstreams could not register again meanwhile.
+                self.extend_grace(now.after(update.grace_ms));
             }
         }
-        if word.from > known {
+        if update.from > known {
             return UpdateOutcome::Gap;
         }
-        if word.to < known {
+        if update.to < known {
             return UpdateOutcome::Stale;
         }
-        for change in &word.changes {
+        for change in &update.changes {
             if change.position > known {
-                let change = self.corrected(change.clone(), now);
+                let change = self.correct_restored(change.clone(), now);
                 self.apply(&change, now);
             }
         }
         UpdateOutcome::Applied
     }
 
-    /// Takes in what came too early, now that the list is known up to `known`; up to which position it is
-    /// known then. What still misses something before it is left.
+    /// Applies updates that arrived early, now that the list is known up to `known`; returns the position up to which
+    /// it is known then. Updates that still miss a predecessor remain.
     pub fn catch_up(
         &mut self,
         mut known: Position,
-        early: &mut Vec<RosterUpdate>,
+        early_updates: &mut Vec<RosterUpdate>,
         now: Time,
     ) -> Position {
-        while let Some(next) = early.iter().position(|word| word.from <= known) {
-            let word = early.swap_remove(next);
-            if self.apply_update(&word, known, now) == UpdateOutcome::Applied {
-                known = word.to;
+        while let Some(next) = early_updates.iter().position(|update| update.from <= known) {
+            let update = early_updates.swap_remove(next);
+            if self.apply_update(&update, known, now) == UpdateOutcome::Applied {
+                known = update.to;
             }
         }
         known
     }
 
-    /// The upstreams as they are believed.
+    /// The upstreams that are taken to exist, in order of their names.
     pub fn listed(&self) -> Vec<Listed> {
         self.entries.values().cloned().collect()
     }
 
-    /// Gives up upstreams that are missing for long enough, now that the store has just been heard: one that is
-    /// away again hears nobody enter.
+    /// Removes upstreams that have been missing for the whole grace period, after a call of the store: while the store
+    /// is down again no upstream can register.
     pub fn remove_expired(&mut self, now: Time) {
-        if self.grace_ms(now) > HOP_MS {
+        if self.grace_ms(now) > DATAGRAM_DELAY_MS {
             return;
         }
-        for name in std::mem::take(&mut self.lapsing) {
-            self.forget(&name, now);
+        for name in std::mem::take(&mut self.missing) {
+            self.remove_entry(&name, now);
         }
     }
 
-    /// Entries that are believed though they are missing, each told once.
+    /// Missing entries whose grace period has begun, each returned once.
     pub fn take_new_missing(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.new_lapsing)
+        std::mem::take(&mut self.new_missing)
     }
 
-    /// For how much longer entries that are missing are believed, in milliseconds.
+    /// Remaining grace period of missing entries, in milliseconds.
     pub fn grace_ms(&self, now: Time) -> u64 {
-        self.absent
-            .map_or(0, |absent| availability::grace_ms(absent, now))
+        self.last_outage
+            .map_or(0, |outage| availability::grace_ms(outage, now))
     }
 
-    /// When the store is to be heard of entries that are missing.
+    /// When the store must be read about missing entries; `None` if there are none.
     pub fn next_expiry(&self) -> Option<Time> {
-        let absent = self.absent.filter(|_| !self.lapsing.is_empty())?;
-        Some(absent.to.after(availability::GRACE_MS))
+        let outage = self.last_outage.filter(|_| !self.missing.is_empty())?;
+        Some(outage.to.after(availability::GRACE_MS))
     }
 
-    /// Has what comes next told as changes behind a position: the others know of all before it.
+    /// Sets the position that peers already know; later updates contain the changes after it.
     pub fn set_announced(&mut self, position: Position) {
-        self.told = Some(position);
-        self.untold.clear();
+        self.announced = Some(position);
+        self.unannounced.clear();
     }
 
-    /// What other instances are to be told up to a position; at least that nothing has changed. `uptime_ms` is for how long the
-    /// store has not been away.
+    /// Updates to announce up to a position, at least one that confirms that nothing has changed. `uptime_ms` is how
+    /// long the store has been available.
     pub fn pending_updates(
         &mut self,
         known: Position,
         uptime_ms: u64,
         now: Time,
     ) -> Vec<RosterUpdate> {
-        let mut from = self.told.unwrap_or(known);
-        let untold = std::mem::take(&mut self.untold);
+        let mut from = self.announced.unwrap_or(known);
+        let unannounced = std::mem::take(&mut self.unannounced);
         let grace_ms = self.grace_ms(now);
-        let away = self.absent.filter(|_| grace_ms > 0);
-        let outage_ms = away.map_or(0, |away| away.to.since(away.from));
-        let mut words: Vec<RosterUpdate> = Vec::new();
-        for changes in split(&untold) {
+        let outage = self.last_outage.filter(|_| grace_ms > 0);
+        let outage_ms = outage.map_or(0, |outage| outage.to.since(outage.from));
+        let mut updates: Vec<RosterUpdate> = Vec::new();
+        for changes in split_changes(&unannounced) {
             let to = changes.last().map_or(from, |change| change.position);
-            words.push(RosterUpdate {
-                outage_ms,
+            updates.push(RosterUpdate {
                 changes: changes.to_vec(),
                 from,
-                is_grace_extended: self.held,
                 grace_ms,
-                uptime_ms,
+                is_grace_extended: self.is_grace_extended,
+                outage_ms,
                 to,
+                uptime_ms,
             });
             from = to;
         }
-        match words.last_mut() {
+        match updates.last_mut() {
             Some(last) => last.to = known,
-            None => words.push(RosterUpdate {
-                outage_ms,
+            None => updates.push(RosterUpdate {
                 changes: Vec::new(),
                 from,
-                is_grace_extended: self.held,
                 grace_ms,
-                uptime_ms,
+                is_grace_extended: self.is_grace_extended,
+                outage_ms,
                 to: known,
+                uptime_ms,
             }),
         }
-        self.told = Some(known);
-        words
+        self.announced = Some(known);
+        updates
     }
 
-    /// Takes in all that the store lists at a position, which was `away` last. Entries that are missing are believed for a while.
+    /// Replaces the list by a full read of the store at a position; `outage` is the store's latest outage. Missing
+    /// entries get a grace period.
     pub fn replace_all(
         &mut self,
         entries: &[Change],
         position: Position,
-        away: Option<Span>,
+        outage: Option<Span>,
         now: Time,
     ) {
-        if position.era > self.changed.era {
-            // Each return from a copy loses entries of its own, however soon it comes behind another.
-            self.absent = away.or(self.absent);
-            self.changed = Position::new(position.era, 0);
+        if position.era > self.last_change.era {
+            // Each restore from a backup loses entries of its own, however soon it follows another.
+            self.last_outage = outage.or(self.last_outage);
+            self.last_change = Position::new(position.era, 0);
         } else {
-            self.believe_own(away);
+            self.record_own_outage(outage);
         }
-        self.seen = self.seen.max(position);
+        self.newest_seen = self.newest_seen.max(position);
         let names: BTreeSet<&str> = entries.iter().map(|entry| entry.name.as_str()).collect();
         let missing = |name: &&String| !names.contains(name.as_str());
         let missing: Vec<String> = self.entries.keys().filter(missing).cloned().collect();
         if !missing.is_empty() {
-            // An entry that went leaves no position. Others would be told that nothing has changed behind the one they know.
-            self.changed = self.changed.max(position);
+            // A deleted entry leaves no position; peers would be told that nothing has changed since the one they
+            // know.
+            self.last_change = self.last_change.max(position);
         }
         for name in missing {
-            self.remove(&name, now);
+            self.mark_missing(&name, now);
         }
         for entry in entries {
-            self.changed = self.changed.max(entry.position);
-            let entry = self.corrected(entry.clone(), now);
+            self.last_change = self.last_change.max(entry.position);
+            let entry = self.correct_restored(entry.clone(), now);
             self.apply(&entry, now);
         }
-        // What changed in between is not known one by one: others must ask.
-        self.told = None;
-        self.untold.clear();
+        // The single changes in between are unknown: peers must read the list.
+        self.announced = None;
+        self.unannounced.clear();
     }
 
-    /// Takes in changes that the store told, which was `away` last. Entries that go are believed for a while.
-    pub fn apply_changes(&mut self, changes: Vec<Change>, away: Option<Span>, now: Time) {
-        self.believe_own(away);
+    /// Applies changes from the store; `outage` is its latest outage. Deleted entries get a grace period.
+    pub fn apply_changes(&mut self, changes: Vec<Change>, outage: Option<Span>, now: Time) {
+        self.record_own_outage(outage);
         for change in changes {
-            self.changed = self.changed.max(change.position);
-            let change = self.corrected(change, now);
+            self.last_change = self.last_change.max(change.position);
+            let change = self.correct_restored(change, now);
             self.apply(&change, now);
-            self.untold.push(change);
+            self.unannounced.push(change);
         }
     }
 
     fn apply(&mut self, change: &Change, now: Time) {
-        self.seen = self.seen.max(change.position);
+        self.newest_seen = self.newest_seen.max(change.position);
         match &change.entry {
-            Entry::Deleted => self.remove(&change.name, now),
+            Entry::Deleted => self.mark_missing(&change.name, now),
             Entry::Listed(listed) => {
                 let former = self.entries.get(&change.name).map(Listed::life);
                 if let Some(former) = former.filter(|former| *former != listed.life()) {
-                    self.note_left(former, false, now);
+                    self.record_departure(former, false, now);
                 }
                 if listed.leaving {
-                    self.note_left(listed.life(), true, now);
+                    self.record_departure(listed.life(), true, now);
                 }
-                self.lapsing.remove(&change.name);
-                self.spoilt.remove(&change.name);
-                self.places.insert(change.name.clone(), change.position);
+                self.missing.remove(&change.name);
+                self.overwritten.remove(&change.name);
+                self.positions.insert(change.name.clone(), change.position);
                 self.entries.insert(change.name.clone(), listed.clone());
             }
             Entry::Invalid => {
-                self.lapsing.remove(&change.name);
-                self.places.remove(&change.name);
+                self.missing.remove(&change.name);
+                self.positions.remove(&change.name);
                 if let Some(listed) = self.entries.remove(&change.name) {
-                    self.spoilt.insert(change.name.clone(), listed.life());
+                    self.overwritten.insert(change.name.clone(), listed.life());
                 }
             }
         }
     }
 
-    /// A change as it is to be believed. The store may be back from a copy from before a life left: one that said that it leaves stays
-    /// so, and one that had gone is not there again unless it wrote since. Else such lives were given work again for as long as
-    /// the copy's entries stood.
-    fn corrected(&self, mut change: Change, now: Time) -> Change {
+    /// Corrects a change from a store that may have been restored from a backup older than a departure: an incarnation
+    /// that announced its leaving is still leaving, and a deleted one stays deleted unless it has written since.
+    /// Otherwise such incarnations got work again for as long as the restored entries stood.
+    fn correct_restored(&self, mut change: Change, now: Time) -> Change {
         let Entry::Listed(listed) = &mut change.entry else {
             return change;
         };
         let known = self.entries.get(&change.name).map(Listed::life);
-        let place = self.places.get(&change.name).copied().unwrap_or_default();
-        let is_copied =
-            place.era < change.position.era && change.position.revision < place.revision;
-        if is_copied && known.is_some_and(|known| known != listed.life()) {
-            // A former life, from before the one that is known began.
+        let written_at = self
+            .positions
+            .get(&change.name)
+            .copied()
+            .unwrap_or_default();
+        let is_restored =
+            written_at.era < change.position.era && change.position.revision < written_at.revision;
+        if is_restored && known.is_some_and(|known| known != listed.life()) {
+            // An earlier incarnation, from before the known one began.
             change.entry = Entry::Deleted;
             return change;
         }
-        let before =
-            |left: &&Left| left.to.era < change.position.era && now.since(left.at) < LEFT_MS;
-        let Some(left) = self.left.get(&listed.life()).filter(before) else {
+        let before = |departure: &&Departure| {
+            departure.to.era < change.position.era && now.since(departure.at) < DEPARTURE_MEMORY_MS
+        };
+        let Some(departure) = self.departures.get(&listed.life()).filter(before) else {
             return change;
         };
-        if left.leaving {
+        if departure.leaving {
             listed.leaving = true;
-        } else if change.position.revision <= left.to.revision {
+        } else if change.position.revision <= departure.to.revision {
             change.entry = Entry::Deleted;
         }
         change
     }
 
-    /// Remembers that a life left or went.
-    fn note_left(&mut self, life: Incarnation, leaving: bool, at: Time) {
-        let known = self.left.get(&life);
-        if known.is_some_and(|left| left.leaving || !leaving && left.to.era == self.seen.era) {
+    /// Records that an incarnation is leaving or was deleted.
+    fn record_departure(&mut self, life: Incarnation, leaving: bool, at: Time) {
+        let known = self.departures.get(&life);
+        if known.is_some_and(|departure| {
+            departure.leaving || !leaving && departure.to.era == self.newest_seen.era
+        }) {
             return;
         }
-        if self.left.len() >= LEFT_MOST
-            && let Some(oldest) = self.left.iter().min_by_key(|(_, left)| left.at)
+        if self.departures.len() >= DEPARTURES_MAX
+            && let Some(oldest) = self
+                .departures
+                .iter()
+                .min_by_key(|(_, departure)| departure.at)
         {
             let oldest = *oldest.0;
-            self.left.remove(&oldest);
+            self.departures.remove(&oldest);
         }
-        let to = self.seen;
-        self.left.insert(life, Left { at, leaving, to });
+        let to = self.newest_seen;
+        self.departures.insert(life, Departure { at, leaving, to });
     }
 
-    /// Takes an entry out; its life has gone.
-    fn forget(&mut self, name: &str, now: Time) {
-        self.places.remove(name);
+    /// Removes an entry and records the departure of its incarnation.
+    fn remove_entry(&mut self, name: &str, now: Time) {
+        self.positions.remove(name);
         if let Some(listed) = self.entries.remove(name) {
-            self.note_left(listed.life(), false, now);
+            self.record_departure(listed.life(), false, now);
         }
     }
 
-    /// Notes when the store was away by this instance's own account.
-    fn believe_own(&mut self, away: Option<Span>) {
-        let another_ms = if self.hearsay {
-            ANOTHER_MS
+    /// Records an outage that this instance saw itself.
+    fn record_own_outage(&mut self, outage: Option<Span>) {
+        let distinct_ms = if self.is_outage_reported {
+            DISTINCT_RETURN_MS
         } else {
-            ANOTHER_OWN_MS
+            DISTINCT_OWN_RETURN_MS
         };
-        self.believe(away, another_ms);
+        self.record_outage(outage, distinct_ms);
     }
 
-    /// Notes when the store was away. Of one absence that several saw, the first return counts: another one lasts
-    /// longer than their returns are apart.
-    fn believe(&mut self, away: Option<Span>, another_ms: u64) {
-        let Some(away) = away else {
+    /// Records an outage. If several instances saw the same one, its first return counts: distinct outages last longer
+    /// than their returns are apart.
+    fn record_outage(&mut self, outage: Option<Span>, distinct_ms: u64) {
+        let Some(outage) = outage else {
             return;
         };
-        let is_another = |known: Span| away.to.since(known.to) >= another_ms;
-        if self.absent.is_none_or(is_another) {
-            self.absent = Some(away);
-            self.held = false;
+        let is_distinct = |known: Span| outage.to.since(known.to) >= distinct_ms;
+        if self.last_outage.is_none_or(is_distinct) {
+            self.last_outage = Some(outage);
+            self.is_grace_extended = false;
         }
     }
 
-    /// The store was not away in a span, as another instance tells: entries that are missing have not gone for want of it then.
-    pub fn shorten_outage(&mut self, steady: Span, absence: &Availability, now: Time) {
-        let Some(absent) = &mut self.absent else {
+    /// Shortens the outage by a span in which a peer reports that the store was up: no missing entry expired then.
+    pub fn shorten_outage(&mut self, uptime: Span, availability: &Availability, now: Time) {
+        let Some(outage) = &mut self.last_outage else {
             return;
         };
-        let over = now.before(availability::GRACE_MS);
-        let to = absence
-            .exclude_uptime(*absent, steady)
-            .map_or(over, |left| left.to);
-        absent.to = absent.to.min(to);
-        absent.from = absent.from.min(absent.to);
+        let ended = now.before(availability::GRACE_MS);
+        let to = availability
+            .exclude_uptime(*outage, uptime)
+            .map_or(ended, |departure| departure.to);
+        outage.to = outage.to.min(to);
+        outage.from = outage.from.min(outage.to);
     }
 
-    /// Has entries that are missing believed up to a time at least: calls failed again soon behind an absence, and
-    /// upstreams could not enter themselves meanwhile.
+    /// Extends the grace period of missing entries to a time at least: calls failed again soon after an outage, and
+    /// upstreams could not register meanwhile.
     pub fn extend_grace(&mut self, until: Time) {
-        if let Some(absent) = &mut self.absent
-            && until <= absent.to.after(availability::GRACE_MS + ANOTHER_MS)
+        if let Some(outage) = &mut self.last_outage
+            && until <= outage.to.after(availability::GRACE_MS + DISTINCT_RETURN_MS)
         {
             let to = until.before(availability::GRACE_MS);
-            self.held |= to > absent.to;
-            absent.to = absent.to.max(to);
+            self.is_grace_extended |= to > outage.to;
+            outage.to = outage.to.max(to);
         }
     }
 
-    /// Another instance tells of a return behind the one that is known here. If this instance found the store not to answer in between
-    /// it is another return, however soon: upstreams have from then on to enter themselves.
-    pub fn note_peer_return(&mut self, away: Span, unanswered: Option<Time>) {
-        let known = self.absent.map(|absent| absent.to);
+    /// Records that a peer saw a later return than the one known here. If this instance found the store unavailable in
+    /// between, it is another return, however soon: upstreams register again from then on.
+    pub fn note_peer_return(&mut self, outage: Span, unanswered: Option<Time>) {
+        let known = self.last_outage.map(|outage| outage.to);
         let between = known
             .zip(unanswered)
-            .is_some_and(|(known, unanswered)| known < unanswered && unanswered < away.to);
+            .is_some_and(|(known, unanswered)| known < unanswered && unanswered < outage.to);
         if between {
-            self.extend_grace(away.to.after(availability::GRACE_MS));
+            self.extend_grace(outage.to.after(availability::GRACE_MS));
         }
     }
 
-    fn remove(&mut self, name: &str, now: Time) {
-        if let Some(life) = self.spoilt.remove(name) {
-            self.note_left(life, false, now);
+    fn mark_missing(&mut self, name: &str, now: Time) {
+        if let Some(life) = self.overwritten.remove(name) {
+            self.record_departure(life, false, now);
         }
         if !self.entries.contains_key(name) {
             return;
         }
         if self.grace_ms(now) == 0 {
-            self.forget(name, now);
-            self.lapsing.remove(name);
-        } else if self.lapsing.insert(name.to_owned()) {
-            self.new_lapsing.push(name.to_owned());
+            self.remove_entry(name, now);
+            self.missing.remove(name);
+        } else if self.missing.insert(name.to_owned()) {
+            self.new_missing.push(name.to_owned());
         }
     }
 }
 
-/// Splits changes into parts that a datagram holds each.
-fn split(changes: &[Change]) -> Vec<&[Change]> {
+/// Splits changes into parts that fit one datagram each.
+fn split_changes(changes: &[Change]) -> Vec<&[Change]> {
     let mut parts = Vec::new();
     let (mut start, mut bytes) = (0, 0);
     for (index, change) in changes.iter().enumerate() {
-        let length = size(change);
-        if bytes + length > PIECE && index > start {
+        let length = encoded_bytes(change);
+        if bytes + length > UPDATE_BYTES && index > start {
             parts.push(&changes[start..index]);
             (start, bytes) = (index, 0);
         }
@@ -487,14 +504,14 @@
     parts
 }
 
-/// Bytes that a change takes in a datagram, at most.
-fn size(change: &Change) -> usize {
-    let texts = match &change.entry {
+/// Maximum encoded size of a change, in bytes.
+fn encoded_bytes(change: &Change) -> usize {
+    let string_bytes = match &change.entry {
         Entry::Deleted | Entry::Invalid => 0,
         Entry::Listed(listed) => {
-            let named = listed.data_centre.len() + listed.pool.len() + listed.version.len();
-            listed.address.to_string().len() + named
+            let name_bytes = listed.data_centre.len() + listed.pool.len() + listed.version.len();
+            listed.address.to_string().len() + name_bytes
         }
     };
-    CHANGE + change.name.len() + texts
+    CHANGE_BYTES + change.name.len() + string_bytes
 }
--- a/crates/core/src/staleness.rs
+++ b/crates/core/src/staleness.rs
@@ -1,49 +1,50 @@
-//! How fast instances hear of changes in the store.
+//! Intervals derived from the bound on the staleness of what instances know of the store.
 
 use super::*;
 
-/// Time behind the return of the store, or the end of a refusal, in which an instance must know what it missed, in
-/// milliseconds: the shortest in which a deployment counts it as in touch again.
-const BACK_MS: u64 = 3_000;
+/// Time after the return of the store, or the end of a refusal, within which an instance must know what it missed, in
+/// milliseconds: the shortest after which a deployment counts it as connected again.
+const RECOVERY_MS: u64 = 3_000;
 
-/// Part of it for answers, datagrams and processes that run late, in milliseconds.
+/// Part of it for slow answers, datagrams and processes, in milliseconds.
 const MARGIN_MS: u64 = 100;
 
-/// The longest time of a call of the configuration and of the pause behind it, in milliseconds: what is left for them by the
-/// reads of a configuration that others have.
-const CALL_MAX_MS: u64 = BACK_MS - MARGIN_MS - store_calls::RETRY_MAX_MS - informer::READS_ALL_MS;
+/// Maximum time-out of a call of the configuration, with the pause after it, in milliseconds: what the reads of a
+/// configuration that peers have leave.
+const CALL_MAX_MS: u64 =
+    RECOVERY_MS - MARGIN_MS - store_calls::RETRY_MAX_MS - informer::READ_PAUSES_TOTAL_MS;
 
-/// The longest time without word, in milliseconds: what is left for it by a call of the list that was taken just before the
-/// return.
-const SILENCE_MAX_MS: u64 = BACK_MS - MARGIN_MS - store_calls::SOON_ALL_MS;
+/// Maximum silence of peers, in milliseconds: what a call of the list that was sent just before the return leaves.
+const SILENCE_MAX_MS: u64 = RECOVERY_MS - MARGIN_MS - store_calls::FAST_RETRY_TOTAL_MS;
 
-/// Times derived from the bound within which every instance must know of a change, in milliseconds.
+/// Intervals derived from the time within which every instance must know of a change, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct StalenessBound {
-    /// The bound. Of it about a half passes before silence is noticed; the rest is for asking the store.
+    /// The bound, in milliseconds. About half of it passes before silence is detected; the rest is for calling the
+    /// store.
     pub bound_ms: u64,
 }
 
 impl StalenessBound {
-    /// The longest time in which an answer must begin: of the bound, half is for a call that a silent store took and
-    /// never answers, and half for the next one.
+    /// Time-out of a call, in milliseconds: half of the bound for a call that a silent store accepts and never
+    /// answers, half for the next one.
     pub fn call_ms(self) -> u64 {
         (self.bound_ms / 2).min(CALL_MAX_MS)
     }
 
-    /// Longest time between two calls of the instance that shows the others that nothing has changed.
+    /// Maximum interval between two calls of the instance that sends confirmations, in milliseconds.
     pub fn confirm_ms(self) -> u64 {
         self.bound_ms / 2
     }
 
-    /// Pause of one that watches for others between two watches, in which changes gather.
+    /// Pause of a watcher between two watches, in which changes are batched, in milliseconds.
     pub fn pause_ms(self) -> u64 {
         self.bound_ms / 6
     }
 
-    /// Time without word after which an instance asks the store itself; more than a pause and a wait. The
-    /// deputy is first, so that the others hear of what it learned. It is the same while the store refuses: those
-    /// that watch may be refused longer than others.
+    /// Silence of peers after which an instance calls the store itself, in milliseconds; longer than a pause and a
+    /// wait. The standby goes first, so that the others learn from it. It is the same while the store refuses calls:
+    /// it may refuse watchers for longer than others.
     pub fn silence_ms(self, role: Role) -> u64 {
         match role {
             Role::Standby => self.bound_ms / 2,
@@ -53,16 +54,16 @@
         }
     }
 
-    /// Time without being shown that nothing has changed after which an instance that watches for itself asks the store,
-    /// whatever call it has out. It is longer than the time between two such calls by what a slow store takes; the
-    /// fifth of the bound that is left at the longest is for the call, a datagram and a process that runs late. The
-    /// first of those that watch asks first, so that its answer spares the others.
+    /// Time without a confirmation after which a watcher calls the store whatever call is pending, in milliseconds. It
+    /// exceeds the interval between two confirming calls by what a slow store takes; at least a fifth of the bound is
+    /// left for the call, a datagram and a slow process. The lowest rank calls first, so that its answer spares the
+    /// others.
     pub fn unconfirmed_ms(self, rank: WatcherRank) -> u64 {
         let spread = self.bound_ms / 10 * rank.rank as u64 / rank.count.max(1) as u64;
         self.bound_ms * 7 / 10 + spread
     }
 
-    /// Longest wait of a watch of one that watches for others, so that these hear at least that nothing has changed.
+    /// Maximum wait of a watcher's watch, so that followers hear at least that nothing has changed, in milliseconds.
     pub fn wait_ms(self) -> u64 {
         self.bound_ms / 4
     }
--- a/crates/core/src/store_calls.rs
+++ b/crates/core/src/store_calls.rs
@@ -1,89 +1,89 @@
-//! The calls of one topic of the store: one at a time, with pauses and time limits behind failures.
+//! Calls of the store for one topic: one pending at a time, with time-outs and backoff after failures.
 
 use super::*;
 
-/// Time in which the store's answer must begin, in milliseconds: many times the few that it takes, and twice what it
-/// takes when it is slow. An instance that starts while the store is silent tries again soon.
+/// Time within which the store's answer must begin, in milliseconds: many times its usual few, and twice what a slow
+/// store takes. An instance that starts while the store is silent retries soon.
 pub const TIMEOUT_MS: u64 = 600;
 
-/// The longest such time behind failures of an instance that the store has never answered, in milliseconds: many that
-/// start at once read long lists together.
+/// Maximum time-out after failures for an instance that the store has never answered, in milliseconds: instances that
+/// start together read long lists at the same time.
 const TIMEOUT_MAX_MS: u64 = 5_000;
 
-/// Pause after a call that failed, in milliseconds: it doubles with each further failure up to the end, since refused
-/// calls are paid for in full, also those that cost a tenth when they are answered.
+/// Backoff after a failed call, in milliseconds; doubled with each further failure up to the end of the range. Refused
+/// calls are paid for in full, even those that cost a tenth when they are answered.
 const RETRY_MS: RangeInclusive<u64> = 250..=1_000;
 
-/// Time and pause of a call behind a failure where entries that are missing are believed for a while from the first
-/// answer on, in milliseconds: together less than a second, so that with the two seconds of belief an instance knows
-/// what the store says within the three in which it is back in touch.
-const SOON_MS: (u64, u64) = (700, 50);
+/// Time-out and pause of a fast retry, in milliseconds, used where missing entries have a grace period from the first
+/// answer on. Together they are below a second, so that with the two seconds of grace an instance knows the state of
+/// the store within the three seconds allowed after its return.
+const FAST_RETRY_MS: (u64, u64) = (700, 50);
 
-/// Failures in a row behind which such a call has as much time as others: a store may be slower for long.
-const SOON: u32 = 40;
+/// Consecutive failures after which retries are no longer fast: a store may be slow for long.
+const FAST_RETRY_FAILURES: u32 = 40;
 
-/// The longest pause after a call that failed, in milliseconds.
+/// Maximum pause after a failed call, in milliseconds.
 pub(crate) const RETRY_MAX_MS: u64 = *RETRY_MS.end();
 
-/// Time and pause of a call behind a failure together, in milliseconds.
-pub(crate) const SOON_ALL_MS: u64 = SOON_MS.0 + SOON_MS.1;
+/// Sum of time-out and pause of a fast retry, in milliseconds.
+pub(crate) const FAST_RETRY_TOTAL_MS: u64 = FAST_RETRY_MS.0 + FAST_RETRY_MS.1;
 
-/// The longest such pause of an instance that can not serve anybody before it has read, in milliseconds.
+/// Maximum pause of an instance that can not serve anybody before it has read, in milliseconds.
 const RETRY_AT_START_MS: u64 = 100;
 
-/// The shortest pause after a call that failed, when the store has answered another call since, in milliseconds.
+/// Minimum pause after a failed call when the store has answered another call since, in milliseconds.
 const RETRY_BACK_MS: u64 = 50;
 
-/// Time since the store answered any call for which a call that failed is tried again after the shortest
-/// pause, in milliseconds: it may have begun before the path was back, and a connection takes a second to fail.
+/// Time after any answer of the store in which a failed call is retried after the minimum backoff, in milliseconds: it
+/// may have begun before the path recovered, and a connection takes a second to fail.
 const BACK_MS: u64 = 1_500;
 
-/// Time that a watch has after other instances are known to know more, in milliseconds.
+/// Time that a watch has left once peers are known to be ahead, in milliseconds.
 const BEHIND_MS: u64 = 500;
 
-/// A call that is out.
+/// A call whose answer is awaited.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Out {
+pub(crate) struct PendingCall {
     /// When it began.
     pub began: Time,
-    /// Whether its answer is told to the other instances that watch.
+    /// Whether its answer is announced as a confirmation to the other watchers.
     pub confirms: bool,
-    /// Its number.
+    /// Identifier of the call.
     pub id: u64,
-    /// Whether it asks for changes, and not for all.
-    pub changes: bool,
+    /// Whether it asks for changes since a position rather than for everything.
+    pub is_incremental: bool,
     /// Whether the store waits for a change before it answers.
-    pub waits: bool,
+    pub is_watch: bool,
 }
 
-/// The calls of one topic.
+/// State of the calls for one topic.
 #[derive(Debug)]
 pub struct StoreCalls {
     /// Whether the last call was answered.
     pub(crate) answered: bool,
-    /// Since when others are known to know more.
+    /// Since when peers are known to be ahead.
     behind: Option<Time>,
-    /// When the store last showed what is newest, here or to another instance that knows as much.
+    /// When the store last confirmed the newest state, here or to a peer that knows as much.
     pub(crate) confirmed: Time,
     /// When the last call failed; `None` while the store answers.
     failed: Option<Time>,
-    /// The call that is out.
-    pub(crate) out: Option<Out>,
-    /// Time in which the next answer must begin, in milliseconds.
+    /// The pending call.
+    pub(crate) pending: Option<PendingCall>,
+    /// Time within which the next answer must begin, in milliseconds.
     pub timeout_ms: u64,
     pause_ms: u64,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// Whether the store had forgotten what was asked for last.
-    forgotten: bool,
-    /// Whether calls are made again soon behind a failure.
-    hurried: bool,
-    /// Time before which the store is not asked, since changes gather.
-    pub(crate) ready: Time,
-    /// Position up to which all is known; `None` before it was read.
+    /// Whether the position of the last call had been compacted.
+    compacted: bool,
+    /// Whether failed calls are retried fast.
+    fast_retry: bool,
+    /// Earliest time of the next call, so that changes are batched.
+    pub(crate) not_before: Time,
+    /// Position up to which everything is known; `None` before the first read.
     pub(crate) position: Option<Position>,
-    /// When another instance that watches last told what the store had shown it.
-    pub(crate) told: Time,
+    /// When a peer last confirmed the topic.
+    pub(crate) last_confirmation: Time,
 }
 
 impl Default for StoreCalls {
@@ -93,111 +93,117 @@
             behind: None,
             confirmed: Time::default(),
             failed: None,
-            out: None,
+            pending: None,
             timeout_ms: TIMEOUT_MS,
             pause_ms: 0,
             failures: 0,
-            forgotten: false,
-            hurried: false,
+            compacted: false,
+            fast_retry: false,
             position: None,
-            ready: Time::default(),
-            told: Time::default(),
+            not_before: Time::default(),
+            last_confirmation: Time::default(),
         }
     }
 }
 
 impl StoreCalls {
-    /// Calls that are made again soon behind a failure.
-    pub(crate) fn hurried() -> Self {
+    /// Calls with fast retries after failures.
+    pub(crate) fn with_fast_retry() -> Self {
         Self {
-            hurried: true,
+            fast_retry: true,
             ..Self::default()
         }
     }
 
-    /// The same, of an instance that has just begun: others have not been silent for long.
-    pub(crate) fn begun(self, now: Time) -> Self {
-        Self { told: now, ..self }
+    /// Sets the start of this instance: the silence of peers is counted from then on.
+    pub(crate) fn started_at(self, now: Time) -> Self {
+        Self {
+            last_confirmation: now,
+            ..self
+        }
     }
 
-    /// Notes an answer to the call that was out.
+    /// Records an answer to the pending call.
     pub fn record_success(&mut self) {
         self.answered = true;
         self.failed = None;
         self.failures = 0;
-        self.out = None;
+        self.pending = None;
         self.timeout_ms = TIMEOUT_MS;
         self.pause_ms = 0;
     }
 
-    /// Notes that the call that was out failed; `urgent` if nobody can be served before it is answered.
+    /// Records the failure of the pending call; `urgent` if nobody can be served before an answer.
     pub fn record_failure(
         &mut self,
         urgent: bool,
-        absence: &Availability,
+        availability: &Availability,
         bound: StalenessBound,
         now: Time,
     ) {
         self.failures += 1;
-        self.pause_ms = self.pause(urgent, absence, now);
-        self.timeout_ms = self.next_timeout(absence, bound);
+        self.pause_ms = self.backoff(urgent, availability, now);
+        self.timeout_ms = self.next_timeout(availability, bound);
         self.answered = false;
         self.failed = Some(now);
-        self.out = None;
+        self.pending = None;
     }
 
-    /// Notes that the store has forgotten what changed: all is read at once, and behind a second time in a row after a pause, as
-    /// a store that forgets all would else be asked 200 times a second.
-    pub(crate) fn forget(&mut self, now: Time) {
-        let pause = if self.forgotten { *RETRY_MS.start() } else { 0 };
-        self.forgotten = true;
+    /// Records that the store has compacted the changes: everything is read at once, but after a pause if it happens
+    /// twice in a row, since a store that compacts everything would be called 200 times a second.
+    pub(crate) fn record_compaction(&mut self, now: Time) {
+        let pause = if self.compacted { *RETRY_MS.start() } else { 0 };
+        self.compacted = true;
         self.position = None;
-        self.ready = now.after(pause);
+        self.not_before = now.after(pause);
     }
 
-    /// Notes that changes were told.
-    pub(crate) fn remember(&mut self) {
-        self.forgotten = false;
+    /// Records that changes were received.
+    pub(crate) fn record_changes(&mut self) {
+        self.compacted = false;
     }
 
-    /// Begins anew, as far as what is known goes: the store has come back from a copy. Calls are soon again, since it serves
-    /// somebody: behind sixteen failures before, an instance that was refused knew 0.2 s too late of an upstream that left.
-    pub(crate) fn begin_again(&mut self, now: Time) {
+    /// Discards the position after the store was restored from a backup. The backoff is reset, since the store serves
+    /// somebody: after sixteen failures, an instance that had been refused learned 0.2 s too late that an upstream was
+    /// leaving.
+    pub(crate) fn reset_for_era(&mut self, now: Time) {
         self.failures = 0;
         self.position = None;
-        self.ready = now;
+        self.not_before = now;
     }
 
-    /// Whether it is short and soon, as behind a failure of a store that has answered before.
-    fn hurries(&self, absence: &Availability) -> bool {
-        self.hurried && absence.last_answer().is_some() && self.failures < SOON
+    /// Whether the next retry is fast: the store has answered before and the failures are few.
+    fn is_fast_retry(&self, availability: &Availability) -> bool {
+        self.fast_retry
+            && availability.last_answer().is_some()
+            && self.failures < FAST_RETRY_FAILURES
     }
 
-    /// Time that the next call has behind a failure, in milliseconds.
-    fn next_timeout(&self, absence: &Availability, bound: StalenessBound) -> u64 {
-        if self.hurries(absence) {
-            return SOON_MS.0;
+    /// Time-out of the next call after a failure, in milliseconds.
+    fn next_timeout(&self, availability: &Availability, bound: StalenessBound) -> u64 {
+        if self.is_fast_retry(availability) {
+            return FAST_RETRY_MS.0;
         }
-        let most = match absence.last_answer() {
+        let max_ms = match availability.last_answer() {
             Some(_) => bound.call_ms().max(TIMEOUT_MS),
             None => TIMEOUT_MAX_MS,
         };
-        (self.timeout_ms * 2).min(most)
+        (self.timeout_ms * 2).min(max_ms)
     }
 
-    /// Pause behind a failure, in milliseconds.
-    fn pause(&self, urgent: bool, absence: &Availability, now: Time) -> u64 {
-        if self.hurries(absence) {
-            // One that is refused at once is not asked twenty times a second.
-            let took = self.out.map_or(0, |out| now.since(out.began));
-            return if took < TIMEOUT_MS {
-                (self.pause_ms * 2).clamp(*RETRY_MS.start(), SOON_ALL_MS)
+    /// Pause after a failure, in milliseconds.
+    fn backoff(&self, urgent: bool, availability: &Availability, now: Time) -> u64 {
+        if self.is_fast_retry(availability) {
+            // A store that refuses at once is not called twenty times a second.
+            let elapsed_ms = self.pending.map_or(0, |pending| now.since(pending.began));
+            return if elapsed_ms < TIMEOUT_MS {
+                (self.pause_ms * 2).clamp(*RETRY_MS.start(), FAST_RETRY_TOTAL_MS)
             } else {
-                SOON_MS.1
+                FAST_RETRY_MS.1
             };
         }
         let is_back = |answered: Time| now.since(answered) < BACK_MS;
-        let pause = if absence.last_answer().is_some_and(is_back) {
+        let pause = if availability.last_answer().is_some_and(is_back) {
             *RETRY_MS.start()
         } else {
             (self.pause_ms * 2).clamp(*RETRY_MS.start(), *RETRY_MS.end())
@@ -214,43 +220,40 @@
         self.failed.is_some()
     }
 
-    /// When the next call may be made.
-    pub fn next_call_at(&self, absence: &Availability) -> Time {
+    /// Earliest time of the next call.
+    pub fn next_call_at(&self, availability: &Availability) -> Time {
         let Some(failed) = self.failed else {
-            return self.ready;
+            return self.not_before;
         };
-        let late = failed.after(self.pause_ms);
-        if absence.last_answer() >= self.failed {
-            late.min(failed.after(RETRY_BACK_MS))
+        let retry_at = failed.after(self.pause_ms);
+        if availability.last_answer() >= self.failed {
+            retry_at.min(failed.after(RETRY_BACK_MS))
         } else {
-            late
+            retry_at
         }
     }
 
-    /// Notes whether others are known to know more.
-    pub(crate) fn compare(&mut self, behind: bool, now: Time) {
+    /// Records whether peers are known to be ahead.
+    pub(crate) fn set_behind(&mut self, behind: bool, now: Time) {
         self.behind = behind.then(|| self.behind.unwrap_or(now));
     }
 
-    /// When the call that is out is known to be answered no more, and why: it waits for a change and others know more,
-    /// or the store has answered other calls behind some that failed, and this one was taken in the silence. A silent
-    /// store never answers it; with 10 s of waiting, leaving upstreams got requests for 2.2 s more than allowed, and with 4.8 s for a
-    /// first read those that watch for others had no configuration to tell 3 s behind the store's return.
-    pub(crate) fn hopeless(&self, absence: &Availability) -> Option<(Time, CancelReason)> {
-        let out = self.out?;
+    /// When to abandon the pending call, and why: it is a watch and peers are ahead, or the store answered other calls
+    /// after failures, and this one was sent during its silence. A silent store never answers such a call. With 10 s
+    /// of waiting, leaving upstreams got requests for 2.2 s more than allowed; with 4.8 s for a first read, watchers
+    /// had no configuration to announce 3 s after the store's return.
+    pub(crate) fn abandon_at(&self, availability: &Availability) -> Option<(Time, CancelReason)> {
+        let pending = self.pending?;
         let behind = self
             .behind
-            .filter(|_| out.waits)
-            .map(|behind| behind.max(out.began).after(BEHIND_MS));
-        let recovered = absence
+            .filter(|_| pending.is_watch)
+            .map(|behind| behind.max(pending.began).after(BEHIND_MS));
+        let recovered = availability
             .recovered_at()
-            .filter(|recovered| *recovered > out.began);
-        let overtaken = recovered.map(|recovered| recovered.after(TIMEOUT_MS));
+            .filter(|recovered| *recovered > pending.began);
+        let stalled = recovered.map(|recovered| recovered.after(TIMEOUT_MS));
         let behind = behind.map(|at| (at, CancelReason::PeersAhead));
-        let overtaken = overtaken.map(|at| (at, CancelReason::Stalled));
-        behind
-            .into_iter()
-            .chain(overtaken)
-            .min_by_key(|(at, _)| *at)
+        let stalled = stalled.map(|at| (at, CancelReason::Stalled));
+        behind.into_iter().chain(stalled).min_by_key(|(at, _)| *at)
     }
 }
--- a/crates/core/tests/informer.rs
+++ b/crates/core/tests/informer.rs
@@ -148,17 +148,17 @@
 fn newer_era_that_another_instance_tells_is_entered_and_an_older_one_is_not() {
     let tells = |era| PeerReport {
         update: Some(RosterUpdate {
-            outage_ms: 0,
             changes: vec![Change {
                 entry: Entry::Deleted,
                 name: "engine".into(),
                 position: Position::new(era, 3),
             }],
             from: Position::new(era, 2),
-            is_grace_extended: false,
             grace_ms: 0,
-            uptime_ms: 0,
+            is_grace_extended: false,
+            outage_ms: 0,
             to: Position::new(era, 3),
+            uptime_ms: 0,
         }),
         ..PeerReport::default()
     };
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -34,17 +34,17 @@
         version: String::new(),
     };
     RosterUpdate {
-        outage_ms: 0,
         changes: vec![Change {
             entry: Entry::Listed(listed),
             name,
             position: to,
         }],
         from,
-        is_grace_extended: false,
         grace_ms: 0,
-        uptime_ms: 0,
+        is_grace_extended: false,
+        outage_ms: 0,
         to,
+        uptime_ms: 0,
     }
 }
 
@@ -117,17 +117,17 @@
 /// Word from one that the store refused until now that an entry is gone.
 fn gone(from: u64, to: u64, name: &str) -> RosterUpdate {
     RosterUpdate {
-        outage_ms: 3_000,
         changes: vec![Change {
             entry: Entry::Deleted,
             name: name.into(),
             position: at(to),
         }],
         from: at(from),
-        is_grace_extended: false,
         grace_ms: 2_000,
-        uptime_ms: 0,
+        is_grace_extended: false,
+        outage_ms: 3_000,
         to: at(to),
+        uptime_ms: 0,
     }
 }
 
