--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,20 +1,20 @@
-//! Budgets of permits: what one instance may do of what all instances keep together.
+//! Token buckets that limit what one instance may do, as its part of a limit for the whole fleet.
 
 use super::*;
 
-/// Instances that have a full budget each; more of them share as much as these have together.
+/// Largest fleet in which each instance has a full budget; larger fleets share the total of this many.
 const FULL_INSTANCES: f64 = 4.0;
 
-/// A bucket of permits: earned by work done, refilled slowly by time, spent by what is bounded.
+/// A token bucket of permits: earned by admitted work, refilled slowly over time, spent by the limited operation.
 ///
-/// A permit may be spent while the bucket is not empty, and what it lacked is owed; a bucket holds one permit at
-/// least. So an instance whose part of the whole is less than one permit can spend one, and earns it back
-/// before the next: what all of them gain in some time is the whole's however many they are.
+/// A permit may be spent while the bucket is not empty, and the missing part is owed; a bucket holds at least one
+/// permit. So an instance whose part of the total is below one permit can spend one, and earns it back before the
+/// next: the fleet's total over time does not depend on the number of instances.
 #[derive(Clone, Debug)]
 pub struct Budget {
     capacity: f64,
     last: Time,
-    /// Permits that the bucket holds at least, and that may be owed.
+    /// Minimum capacity in permits, and the maximum that may be owed.
     least: f64,
     level: f64,
     /// Part of capacity and refill that this instance may use, from 0 to 1.
@@ -23,13 +23,13 @@
 }
 
 impl Budget {
-    /// Adds a part of a permit for work admitted.
+    /// Adds a fraction of a permit for admitted work.
     pub fn earn(&mut self, permits: f64) {
         let most = (self.capacity * self.part).max(self.least);
         self.level = (self.level + permits).min(most);
     }
 
-    /// A full bucket of `capacity` permits that refills by `refill_per_second`.
+    /// Creates a full bucket of `capacity` permits that gains `refill_per_second`.
     pub fn new(capacity: f64, refill_per_second: f64, now: Time) -> Self {
         Self {
             capacity,
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Leaves this instance its part of capacity and refill, where so many instances have a budget together; the
-    /// bucket holds `least` permits at least, and as many may be owed.
+    /// Restricts this instance to its part of capacity and refill in a fleet of `instances`; the bucket holds at least
+    /// `least` permits, and as many may be owed.
     pub fn share(&mut self, instances: u32, least: f64) {
         self.least = least;
         self.part = (FULL_INSTANCES / f64::from(instances.max(1))).min(1.0);
     }
 
-    /// Takes a permit; false, and nothing taken, if the bucket is empty.
+    /// Takes a permit; if the bucket is empty, takes nothing and returns false.
     pub fn spend(&mut self, now: Time) -> bool {
         let earned = now.since(self.last) as f64 / 1000.0 * self.refill_per_second * self.part;
         self.last = now;
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,24 +1,23 @@
-//! Claims of idempotency keys: grouped in slices of time and buckets, kept in the platform's
-//! key-value service.
+//! Claims of idempotency keys: grouped by time slices and buckets, stored in the key-value store.
 //!
-//! Correctness rests on the compare-and-swap of a bucket's value alone. A bucket's lease lapses
-//! only after every instance refuses the keys in it as too old.
+//! Correctness rests on the compare-and-swap of a bucket's value alone. A bucket's lease expires only after every
+//! instance refuses the keys in it as too old.
 
 use super::*;
 
-/// Buckets of each slice of time.
+/// Number of buckets of each time slice.
 pub const BUCKETS: u64 = 2;
 
-/// Length of a slice of time in milliseconds.
+/// Length of a time slice, in milliseconds.
 pub const SLICE_MS: u64 = 1_000;
 
-/// Length of the time whose slices share one lease, in milliseconds.
+/// Length of the interval whose slices share one lease, in milliseconds.
 pub const LEASE_MS: u64 = 60_000;
 
-/// Start of the numbers of leases.
+/// Base of the lease identifiers.
 const LEASE_BASE: u64 = 0x7765_6c6c_0000_0000;
 
-/// Bytes of one encoded claim.
+/// Size of an encoded claim, in bytes.
 pub const CLAIM_BYTES: usize = 32;
 
 /// A claim of an idempotency key by one request.
@@ -26,31 +25,31 @@
 pub struct Claim {
     /// Digest of service and body; for a continuation, the upstream it is sent to.
     pub fingerprint: u64,
-    /// The key mixed with the customer's name, so that customers do not meet.
+    /// Hash of the key and the customer's name, so that customers' keys do not collide.
     pub key: u128,
-    /// Random number of this submission, by which a lost answer is settled.
+    /// Random number of this submission, which shows whose claim was stored if an answer is lost.
     pub nonce: u64,
-    /// Time in the caller's key.
+    /// Timestamp in the caller's key.
     pub stamp: Time,
 }
 
-/// Where a claim is kept.
+/// Identifies the bucket that stores a claim.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct BucketId {
     /// Bucket within the slice, below [`BUCKETS`].
     pub bucket: u64,
-    /// Slice of time: the key's time divided by [`SLICE_MS`].
+    /// Time slice: the key's timestamp divided by [`SLICE_MS`].
     pub slice: u64,
 }
 
-/// The claims of one bucket, as kept in the key-value service.
+/// The claims of one bucket, as stored in the key-value store.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
     claims: HashMap<u128, (u64, u64)>,
 }
 
 impl Bucket {
-    /// Adds a claim unless its key is there; answers whose it is.
+    /// Adds a claim unless its key is taken; returns whose claim holds.
     pub fn add(&mut self, claim: &Claim) -> event::ClaimOutcome {
         match self.claims.get(&claim.key) {
             None => {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Reads a bucket's value; `None` if it is not one.
+    /// Decodes a bucket's value; `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (records, rest) = bytes.as_chunks::<CLAIM_BYTES>();
         if !rest.is_empty() {
@@ -86,12 +85,12 @@
         self.claims.is_empty()
     }
 
-    /// Count of claims.
+    /// Number of claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// The value that holds these claims; [`CLAIM_BYTES`] bytes each.
+    /// The encoded claims, [`CLAIM_BYTES`] each.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.claims.len() * CLAIM_BYTES);
         for (key, (fingerprint, nonce)) in &self.claims {
@@ -104,8 +103,7 @@
 }
 
 impl Claim {
-    /// The claim of `key` for a customer's request; `None` if the key is no `UUIDv7` or its time is
-    /// not within the limits.
+    /// The claim of `key` for a customer's request; `None` if the key is no `UUIDv7` or its timestamp is out of range.
     pub fn new(
         key: u128,
         customer: &str,
@@ -128,9 +126,8 @@
         claim.is_current(now, settings).then_some(claim)
     }
 
-    /// The claim of one continuation of a non-repeatable generation: only one instance may start
-    /// the attempt of this number. Its fingerprint is the upstream that it is sent to, so that
-    /// another instance finds its stream.
+    /// The claim of one continuation of a non-repeatable generation: only one instance may start the attempt of this
+    /// number. Its fingerprint is the upstream that it is sent to, so that another instance finds its stream.
     pub fn continuation(generation: u128, number: u32, upstream: u64, nonce: u64) -> Option<Self> {
         let mut hasher = blake3::Hasher::new_derive_key("wellplank continuation");
         hasher.update(&generation.to_le_bytes());
@@ -149,7 +146,7 @@
             && now.since(self.stamp) <= settings.key_age_max_ms
     }
 
-    /// Where it is kept.
+    /// The bucket that stores the claim.
     pub fn bucket_id(&self) -> BucketId {
         BucketId {
             bucket: self.key as u64 % BUCKETS,
@@ -159,19 +156,19 @@
 }
 
 impl BucketId {
-    /// Number of the lease that the place's entry ends with.
+    /// Identifier of the lease of the bucket's entry.
     pub fn lease(&self) -> u64 {
         LEASE_BASE + self.slice * SLICE_MS / LEASE_MS
     }
 
-    /// Time to live of a lease, in milliseconds: until every instance refuses the keys under it,
-    /// with a margin for clocks that differ.
+    /// Time to live of a lease, in milliseconds: until every instance refuses the keys under it, with a margin for
+    /// clock skew.
     pub fn ttl_ms(settings: &Settings) -> u64 {
         LEASE_MS + settings.key_age_max_ms + 4 * settings.key_lead_max_ms
     }
 }
 
-/// Time in a `UUIDv7`; `None` for other versions.
+/// Timestamp of a `UUIDv7`; `None` for other versions.
 fn stamp(key: u128) -> Option<Time> {
     let key = uuid::Uuid::from_u128(key);
     let (seconds, nanos) = key.get_timestamp()?.to_unix();
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,15 +1,15 @@
-//! The operators' declarations in force.
+//! The operators' configuration in force.
 
 use super::*;
 
-/// A configuration accepted by the platform's key-value service; checked before it was accepted.
+/// A configuration from the key-value store; validated before it was stored.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
     /// Customers by the digest of their key.
     pub customers: HashMap<String, Arc<Customer>>,
     /// Models by name.
     pub models: BTreeMap<String, Arc<Model>>,
-    /// Revision; grows with every accepted change.
+    /// Revision; increases with every accepted change.
     pub revision: u64,
     /// Routes of relayed requests.
     pub routes: Vec<Route>,
@@ -18,7 +18,7 @@
 }
 
 impl Config {
-    /// Pools of upstreams that serve something.
+    /// Pools of upstreams that any service or route uses.
     pub fn pools(&self) -> BTreeSet<&str> {
         let shares = self.routes.iter().flat_map(|route| &route.shares);
         let services = shares.map(|share| &share.service);
@@ -27,64 +27,64 @@
     }
 }
 
-/// Someone allowed to call services.
+/// A caller that may use services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Requests running or waiting at once over all instances, at most.
+    /// Maximum number of requests running or waiting over all instances.
     pub max_running: u32,
     /// Unique name.
     pub name: String,
-    /// Names of the services it may call; empty for all.
+    /// Names of the permitted services; empty for all.
     pub services: Vec<String>,
-    /// Share of contended capacity relative to other customers; at least 1.
+    /// Weight in the sharing of contended capacity between customers; at least 1.
     pub weight: u32,
 }
 
-/// Weights that runners serve.
+/// A model that upstreams serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Names of the adapters that may be asked for.
+    /// Names of the adapters that requests may select.
     pub adapters: Vec<String>,
     /// Unique name.
     pub name: String,
-    /// Name of the pool of upstreams in the platform's list.
+    /// Name of the pool in the list of upstreams.
     pub pool: String,
     /// Version that upstreams must serve.
     pub version: String,
 }
 
-/// What is done when an engine is suspected.
+/// What to do when an engine is suspected to have failed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Policy {
-    /// Start the continuation on suspicion; the first to yield the next token wins.
+    /// Start the continuation on suspicion; the first attempt to yield the next token wins.
     Latency,
     /// Continue only when the stream is lost.
     #[default]
     Resources,
 }
 
-/// Order in which waiting work is sent; the first comes first.
+/// Priority of waiting work; earlier variants are sent first.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Priority {
-    /// A caller waits at a gate.
+    /// A caller is held up on site, for instance at a gate.
     Urgent,
-    /// A caller waits.
+    /// A caller is waiting.
     #[default]
     Normal,
-    /// Nobody waits.
+    /// Nobody is waiting.
     Background,
 }
 
-/// Requests that are relayed as they are, by host and start of the path.
+/// A rule for requests that are relayed unchanged, by host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Host that callers name.
     pub host: String,
-    /// Start of the path; the longest that fits counts.
+    /// Path prefix; the longest match applies.
     pub prefix: String,
     /// Whether callers need no key.
     pub public: bool,
-    /// What serves it; at least one.
+    /// Services between which the requests are split; at least one.
     pub shares: Vec<Share>,
 }
 
@@ -93,69 +93,69 @@
 pub struct Share {
     /// The service.
     pub service: Arc<Service>,
-    /// Part of the requests, relative to the other shares' weights.
+    /// Weight relative to the route's other shares.
     pub weight: u32,
 }
 
 /// How requests of a service are relayed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Relay {
-    /// Upstreams that one request may be sent to, at most.
+    /// Maximum number of upstreams that one request is sent to.
     pub attempts_max: u32,
-    /// Tokens that an upstream's memory holds; 0 if it keeps none.
+    /// Capacity of an upstream's KV cache, in tokens; 0 if it has none.
     pub memory_tokens: u32,
-    /// Whether upstreams copy a running stream's memory to a second one.
+    /// Whether upstreams replicate a running stream's KV cache to a second one.
     pub copies: bool,
-    /// Time to the first byte that callers should not notice, in milliseconds.
+    /// Objective for the time to the first byte, in milliseconds.
     pub objective_ms: u64,
-    /// Name of the pool in the platform's list.
+    /// Name of the pool in the list of upstreams.
     pub pool: String,
-    /// Whether another upstream can go on with an answer after any of its events.
+    /// Whether another upstream can continue an answer after any of its events.
     pub resumable: bool,
-    /// Whether the answer is a series of events.
+    /// Whether the answer is an event stream.
     pub streams: bool,
 }
 
-/// One use of a model, or a plain service.
+/// A use of a model, or a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Time from acceptance to the last byte, at most; milliseconds.
+    /// Maximum time from acceptance to the last byte, in milliseconds.
     pub deadline_ms: u64,
-    /// Time that a request may wait for an upstream; milliseconds.
+    /// Maximum time that a request waits for an upstream, in milliseconds.
     pub max_wait_ms: u64,
     /// Unique name, which callers give.
     pub name: String,
-    /// What is done when an engine is suspected.
+    /// What to do when an engine is suspected to have failed.
     pub policy: Policy,
-    /// Order of waiting work.
+    /// Priority of waiting work.
     pub priority: Priority,
     /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// What answers it.
+    /// What answers the requests.
     pub target: Target,
 }
 
 /// What answers the requests of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
-    /// A plain service of this pool.
+    /// A plain service of a pool.
     Call {
-        /// Name of the pool in the platform's list.
+        /// Name of the pool in the list of upstreams.
         pool: String,
     },
-    /// An engine with this model.
+    /// An engine that serves a model.
     Generate {
         /// Name of the adapter; empty for none.
         adapter: String,
         /// Model that must be loaded.
         model: Arc<Model>,
     },
-    /// Requests and answers are passed on as they are.
+    /// Requests and answers are relayed unchanged.
     Relay(Relay),
 }
 
 impl Customer {
-    /// Whoever calls without a key, where a route needs none.
+    /// The customer of calls without a key, for routes that require none.
     pub fn anonymous() -> Self {
         Self {
             max_running: u32::MAX,
@@ -167,7 +167,7 @@
 }
 
 impl Service {
-    /// Name of the pool whose upstreams serve this.
+    /// Name of the pool whose upstreams serve it.
     pub fn pool(&self) -> &str {
         match &self.target {
             Target::Call { pool } => pool,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// How its requests are relayed, if they are.
+    /// Relay settings; `None` if requests are not relayed.
     pub fn relay(&self) -> Option<&Relay> {
         match &self.target {
             Target::Relay(relay) => Some(relay),
@@ -184,14 +184,14 @@
         }
     }
 
-    /// Whether requests are relayed whose answers are series of events.
+    /// Whether relayed answers are event streams.
     pub fn streams(&self) -> bool {
         self.relay().is_some_and(|relay| relay.streams)
     }
 }
 
 impl Config {
-    /// The route of a request: the one of this host whose prefix is the longest that fits.
+    /// The route of this host whose prefix is the longest match.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
--- a/crates/core/src/cursor.rs
+++ b/crates/core/src/cursor.rs
@@ -1,4 +1,4 @@
-//! Cursors: what a caller holds to go on with an answer after a cut, at any instance.
+//! Cursors with which a caller resumes an interrupted answer on any instance.
 
 use super::*;
 
@@ -6,22 +6,22 @@
 const MAC: usize = 16;
 const VERSION: u8 = 1;
 
-/// Length of an encoded cursor in bytes.
+/// Length of an encoded cursor, in bytes.
 pub const LENGTH: usize = 1 + BODY + MAC;
 
-/// Key of the keyed hash that authenticates cursors; the same on every instance.
+/// Key of the MAC that authenticates cursors; the same on every instance.
 pub type Secret = [u8; 32];
 
-/// A position in one generation and where the rest of it can be had.
+/// A position in one generation and where the rest of it is available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Cursor {
-    /// Number of the attempt that gave the token before this position.
+    /// Number of the attempt that produced the token before this position.
     pub attempt: u32,
     /// Digest of the tokens before this position.
     pub digest: Digest,
-    /// Identity of the generation, the same over all its attempts and instances.
+    /// Identifier of the generation, the same across all its attempts and instances.
     pub generation: u128,
-    /// Count of tokens before this position.
+    /// Number of tokens before this position.
     pub position: u32,
     /// First bytes of the digest of the request that the generation answers.
     pub request: u64,
@@ -32,7 +32,7 @@
 }
 
 impl Cursor {
-    /// Reads a cursor; `None` if it is of another version, length or secret.
+    /// Decodes a cursor; `None` if its version, length or MAC is wrong.
     pub fn decode(bytes: &[u8], secret: &Secret) -> Option<Self> {
         if bytes.len() != LENGTH || bytes[0] != VERSION {
             return None;
@@ -53,7 +53,7 @@
         })
     }
 
-    /// The authenticated bytes of this cursor.
+    /// The encoded and authenticated cursor.
     pub fn encode(&self, secret: &Secret) -> [u8; LENGTH] {
         let mut bytes = [0; LENGTH];
         bytes[0] = VERSION;
@@ -76,8 +76,7 @@
     }
 }
 
-/// The generation that an encoded cursor names, without a check of its authenticity; for the edge
-/// that was given the cursor by the core.
+/// The generation of an encoded cursor without a check of its MAC, for the edge that got the cursor from the core.
 pub fn generation(bytes: &[u8; LENGTH]) -> u128 {
     bytes[1..]
         .first_chunk()
--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -1,6 +1,6 @@
 //! Rolling digest of the tokens of an answer.
 
-/// Digest of all tokens from position 0 on; 16 bytes of blake3 chained token by token.
+/// Digest of all tokens from position 0 on: 16 bytes of BLAKE3, chained token by token.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Digest(pub [u8; 16]);
 
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,17 +1,18 @@
-//! What tells that two tries of a caller are one request.
+//! Fingerprints by which the attempts of a caller are recognized as one request.
 
 use super::*;
 
-/// Names a request of a customer: the same for every try, at every instance. 64 bits, of which the customer's name is a
-/// part: who looked for another body with the same print would find one of its own.
+/// Identifies a customer's request: the same for every attempt, on every instance. It has 64 bits and includes the
+/// customer's name: a customer who searched for another body with the same fingerprint would collide only with its own
+/// requests.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestFingerprint(pub u64);
 
 impl RequestFingerprint {
-    /// The print of what a customer asks; `fingerprint` is the digest of service or path, and of the body.
-    pub fn new(customer: &str, fingerprint: u64) -> Self {
+    /// The fingerprint of a customer's request; `content` is the digest of service or path, and of the body.
+    pub fn new(customer: &str, content: u64) -> Self {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(&fingerprint.to_le_bytes());
+        hasher.update(&content.to_le_bytes());
         hasher.update(customer.as_bytes());
         Self(first(&hasher.finalize()))
     }
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -1,17 +1,17 @@
-//! Lives of upstreams: what starts again under a name is another upstream.
+//! Incarnations of upstreams: a process that restarts under the same name is another upstream.
 
 use super::*;
 
-/// Spreads births over all bits: a large odd number.
+/// Large odd factor that spreads start times over all bits.
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// One life of an upstream, from its start to its end. What is told or believed of one life says nothing of another
-/// one under the same name. Of an upstream that does not say when it was born the birth is 0, and its name alone tells.
+/// One incarnation of an upstream, from its start to its end. Nothing known of one applies to another under the same
+/// name. For an upstream that does not report its start time, `born` is 0 and only the name identifies it.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Incarnation {
-    /// Hash of its name, as cursors carry it.
+    /// Hash of the upstream's name, as cursors carry it.
     pub id: u64,
-    /// When it started, by its own clock, in milliseconds since the Unix epoch; 0 where it does not say.
+    /// Start time by the upstream's own clock, in milliseconds since the Unix epoch; 0 if not reported.
     pub born: u64,
 }
 
@@ -22,18 +22,18 @@
 }
 
 impl Incarnation {
-    /// The life that an upstream of this name began at a time.
+    /// The incarnation of the upstream `name` that started at `born`.
     pub fn new(name: &str, born: u64) -> Self {
         let id = upstream::id(name);
         Self { id, born }
     }
 
-    /// One number that stands for it: its name's hash where it does not say when it was born.
+    /// Hash of name and start time; the name's hash if the start time is not reported.
     pub(crate) fn hash_u64(self) -> u64 {
         self.id ^ self.born.wrapping_mul(SPREAD)
     }
 
-    /// Every life that may be known under the same name.
+    /// The range of all incarnations under the same name.
     pub(crate) fn same_name_range(self) -> RangeInclusive<Self> {
         let born = |born| Self { born, ..self };
         born(0)..=born(u64::MAX)
--- a/crates/core/src/informer_io.rs
+++ b/crates/core/src/informer_io.rs
@@ -1,143 +1,143 @@
-//! What an informer takes in, and what it wants done.
+//! Inputs and outputs of the informer, and the calls of the store that it issues.
 
 use super::*;
 
-/// What is learned from the store.
+/// A part of the store that is followed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Topic {
-    /// The configuration.
+    /// The operators' configuration.
     Configuration,
     /// The list of upstreams.
     Upstreams,
 }
 
-/// How old what a call brings may be.
+/// Consistency of a read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Consistency {
-    /// It is the newest.
+    /// The answer is the newest state.
     Linearizable,
-    /// It may be seconds old; such a read costs a tenth.
+    /// The answer may be seconds old; such a read costs a tenth of a linearizable one.
     Serializable,
 }
 
 /// A call of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// How old the answer may be.
+    /// Consistency of the answer.
     pub consistency: Consistency,
-    /// Whether the call before it failed.
+    /// Whether the previous call failed.
     pub is_retry: bool,
-    /// Its number.
+    /// Identifier of the call.
     pub id: u64,
-    /// Time in which the answer must begin behind the wait, in milliseconds.
+    /// Time after the wait within which the answer must begin, in milliseconds.
     pub timeout_ms: u64,
-    /// Position behind which changes are asked for; `None` for all.
+    /// Position after which changes are requested; `None` for a full read.
     pub since: Option<Position>,
-    /// What is asked for.
+    /// What is read.
     pub topic: Topic,
-    /// Time for which the store waits for a change, in milliseconds.
+    /// Time for which the store waits for a change, in milliseconds; 0 for a read.
     pub wait_ms: u64,
 }
 
-/// What an answer brings.
+/// Content of an answer.
 #[derive(Clone, Debug)]
 pub enum Content {
-    /// The newest configuration, if it is among what was asked for and can be read.
+    /// The newest configuration, if the answer contains one.
     Configuration {
-        /// Its size.
+        /// Size in bytes.
         bytes: usize,
-        /// What it says.
+        /// The configuration; `None` if there is none or it can not be parsed.
         config: Option<Arc<Config>>,
     },
-    /// Upstreams, or their changes, in the order of their positions.
+    /// Upstreams, or their changes, in order of their positions.
     Upstreams(Vec<Change>),
 }
 
-/// How the store answered.
+/// Result of a call that the store answered.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// With all, or all changes, up to a position.
+    /// The full state, or all changes, up to a position.
     Complete(Content, Position),
-    /// It has forgotten what changed since.
+    /// The store has compacted the changes since the requested position.
     Compacted,
 }
 
-/// What the store has just shown an instance to be the newest.
+/// Proof from the store, obtained by one watcher, that a topic is up to date.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Confirmed {
     /// Position of the store up to which it holds.
     pub to: Position,
-    /// Of what.
+    /// The topic that it holds for.
     pub topic: Topic,
 }
 
-/// What another instance let this one know.
+/// What another instance has reported.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReport {
     /// Revision of the configuration in force there.
     pub configuration: Option<u64>,
-    /// What the store has just shown it, if this is told.
+    /// What the store has just confirmed to it, if it reports this.
     pub confirmed: Option<Confirmed>,
-    /// Position of the last change of the list that is known there.
+    /// Position of the last change of the list that it knows.
     pub list: Position,
-    /// Changes that one that watches for the data centre tells.
+    /// Changes of the list from the watcher of the data centre.
     pub update: Option<RosterUpdate>,
 }
 
-/// What happens to an informer.
+/// An event that the informer handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A call was answered.
     Answered(u64, Answer),
     /// A call failed or was refused.
     Failed(u64),
-    /// Another instance let this one know something.
+    /// Another instance reported what it knows.
     PeerReport(PeerReport),
-    /// What it does for its data centre, and its place among those that watch the store.
+    /// The role of this instance in its data centre and its rank among the watchers.
     Role(Role, WatcherRank),
     /// Time has passed, or another call of the store has ended.
     Tick,
 }
 
-/// Why a call is ended.
+/// Why a call is cancelled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CancelReason {
-    /// Other instances know more.
-    PeersAhead,
-    /// It waits for a change, and an entry has been missing for long enough.
+    /// The call is a watch, and the grace period of a missing entry has ended.
     EntryExpired,
-    /// The store answers other calls again, and not this one.
+    /// Peers know more than the call's position.
+    PeersAhead,
+    /// The instance has another role in its data centre.
+    RoleChanged,
+    /// The store answers other calls again, but not this one.
     Stalled,
-    /// The store has come back from a copy.
+    /// The store was restored from a backup.
     StoreRestored,
-    /// The instance does something else for its data centre.
-    RoleChanged,
-    /// Nobody has shown for too long that nothing has changed.
+    /// Nobody has confirmed for too long that nothing has changed.
     Unconfirmed,
 }
 
-/// What an informer wants done.
+/// An action that the informer requests.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// A call is to be made.
+    /// Announce to them that another configuration is in force.
+    AnnounceConfiguration,
+    /// Announce changes of the list to the other instances of the data centre.
+    AnnounceRoster(RosterUpdate),
+    /// Make a call.
     Call(Call),
-    /// A configuration is in force.
+    /// Cancel a call and ignore its answer.
+    Cancel(Call, CancelReason),
+    /// Put a configuration in force.
     Configuration(Arc<Config>),
-    /// The other instances that watch are to be told what the store has just shown.
+    /// Announce to the other watchers what the store has just confirmed.
     Confirm(Confirmed),
-    /// A call is to be ended; nothing it brings counts.
-    Cancel(Call, CancelReason),
-    /// The store has come back from a copy: its era is this one now.
+    /// The store was restored from a backup; it is in this era now.
     Era(u64),
-    /// What an answer brought is of an earlier era of the store, and was dropped.
-    Outdated(Topic),
-    /// An upstream whose entry is missing is believed for so many milliseconds, since the store was away.
+    /// An upstream's entry is missing after an outage of the store; its grace period in milliseconds.
     MissingEntry(String, u64),
-    /// The others of the data centre are to be told changes of the list.
-    AnnounceRoster(RosterUpdate),
-    /// They are to be told that another configuration is in force.
-    AnnounceConfiguration,
-    /// The upstreams as they are believed now.
+    /// An answer described an earlier era of the store and was dropped.
+    Outdated(Topic),
+    /// The upstreams that are now taken to exist.
     Upstreams(Vec<Listed>),
 }
 
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,80 +1,80 @@
-//! The instances of the fleet as this one has known them of late, and which few of them have a task that not all may have.
+//! Recent views of the fleet's members, and the election of the few instances that perform a task.
 //!
-//! Instances hear of others at different times, so two of them may choose different few for a while. Who acts only when it
-//! is among the few by every view of the time in which all hear of a change is among them by a view that all share: never
-//! more act than the few are.
+//! Instances hear of others at different times, so two of them may elect different ones for a while. An instance acts
+//! only if every view within the convergence time elects it; so it is elected by a view that all share, and never more
+//! instances act than are to be elected.
 
 use super::*;
 
-/// Views kept, at most; each change of the fleet brings one.
-const KEPT: usize = 16;
+/// Maximum number of stored views; each change of the fleet adds one.
+const VIEWS_MAX: usize = 16;
 
-/// The instances as they are known at one time.
+/// The members of the fleet at one time.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Numbers of the others.
-    pub others: Vec<u64>,
-    /// The number of this one.
-    pub own: u64,
     /// Time within which all instances hear of a change, in milliseconds.
     pub convergence_ms: u64,
+    /// Identifiers of the other instances.
+    pub others: Vec<u64>,
+    /// Identifier of this instance.
+    pub own: u64,
 }
 
-/// The views of late, the newest last.
+/// Recent views, the newest last.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    seen: VecDeque<(Time, View)>,
+    views: VecDeque<(Time, View)>,
 }
 
 impl View {
-    /// One of so many instances, for which nothing is waited for.
+    /// A view from instance `own` of a fleet of so many numbered instances, effective at once.
     pub fn numbered(own: u64, instances: u64) -> Self {
         Self {
+            convergence_ms: 0,
             others: (0..instances).filter(|other| *other != own).collect(),
             own,
-            convergence_ms: 0,
         }
     }
 
-    /// How many instances there are, this one with them.
+    /// Number of instances including this one.
     pub fn count(&self) -> u32 {
         self.others.len() as u32 + 1
     }
 
-    /// Whether this instance is among the first `few` for a topic, by rendezvous hashing.
-    fn is_among(&self, few: usize, topic: u64) -> bool {
+    /// Whether this instance is one of the `elected_count` for a topic, by rendezvous hashing.
+    fn is_elected(&self, elected_count: usize, topic: u64) -> bool {
         let own = (route::rank(topic, self.own), self.own);
         let before = |other: &&u64| (route::rank(topic, **other), **other) < own;
-        self.others.iter().filter(before).count() < few
+        self.others.iter().filter(before).count() < elected_count
     }
 }
 
 impl Members {
-    /// Takes in another view.
-    pub fn see(&mut self, view: View, now: Time) {
-        if self.seen.len() >= KEPT {
-            self.seen.pop_front();
+    /// Adds a view.
+    pub fn record_view(&mut self, view: View, now: Time) {
+        if self.views.len() >= VIEWS_MAX {
+            self.views.pop_front();
         }
-        self.seen.push_back((now, view));
+        self.views.push_back((now, view));
     }
 
-    /// From when on this instance may act as one of the first `few` for a topic; `None` if it is not among them. One that
-    /// knows of no fleet acts alone.
-    pub fn active_from(&self, few: usize, topic: u64) -> Option<Time> {
-        let Some((_, newest)) = self.seen.back() else {
+    /// Since when this instance may act as one of the `elected_count` for a topic; `None` if it is not elected. An
+    /// instance that has no view acts alone.
+    pub fn active_from(&self, elected_count: usize, topic: u64) -> Option<Time> {
+        let Some((_, newest)) = self.views.back() else {
             return Some(Time::default());
         };
-        let among = |(_, view): &&(Time, View)| view.is_among(few, topic);
-        let (since, _) = self.seen.iter().rev().take_while(among).last()?;
+        let elected = |(_, view): &&(Time, View)| view.is_elected(elected_count, topic);
+        let (since, _) = self.views.iter().rev().take_while(elected).last()?;
         Some(since.after(newest.convergence_ms))
     }
 }
 
 impl Core {
-    /// The fleet is known to be another one.
+    /// Records another view of the fleet and divides the upstreams' limits anew.
     pub(crate) fn update_members(&mut self, view: View) {
         self.instances = view.count();
-        self.members.see(view, self.now);
+        self.members.record_view(view, self.now);
         let limited = |(key, upstream): (upstream::Key, &Upstream)| {
             let part = upstream.part.as_ref()?;
             Some((key, part.rate()))
--- a/crates/core/src/role.rs
+++ b/crates/core/src/role.rs
@@ -1,15 +1,15 @@
-//! What an instance does for the others of its data centre.
+//! Roles of instances in following the store for their data centre.
 
-/// What an instance does for its data centre.
+/// Role of an instance in its data centre.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// It watches the store for itself, as all do.
+    /// Watches the store for itself, as every instance of a small fleet does.
     Independent,
-    /// It asks the store and tells the others when the one that watches is silent.
+    /// Calls the store and announces changes while the watcher is silent.
     Standby,
-    /// It hears from the one that watches.
+    /// Hears of changes from the watcher.
     Follower,
-    /// It watches and tells the others.
+    /// Watches the store and announces changes to the others.
     Watcher,
 }
 
@@ -20,13 +20,13 @@
     }
 }
 
-/// The place of an instance among those that watch the store for themselves. The first of them shows the others in
-/// short turns that nothing has changed, and the next ones stand in for it.
+/// Rank of an instance among those that watch the store. The first one confirms to the others at short intervals that
+/// nothing has changed; the next ones stand in for it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WatcherRank {
-    /// How many they are, with this one.
+    /// Number of watchers including this one.
     pub count: usize,
-    /// How many come before it.
+    /// Number of watchers before this one.
     pub rank: usize,
 }
 
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: which keys are taken, and whose a claim is.
+//! Claims of idempotency keys: validity of keys and ownership of claims.
 
 use {
     googletest::prelude::*,
@@ -12,7 +12,7 @@
 
 const NOW: Time = Time(1_800_000_000_000);
 
-/// A key of version 7 whose time is `millis`.
+/// A version 7 key with the timestamp `millis`.
 fn key(millis: u64) -> u128 {
     (u128::from(millis) << 80) | (7 << 76) | (2 << 62) | 0x2a
 }
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn key_older_than_the_retention_is_refused() {
+fn key_older_than_the_maximum_age_is_refused() {
     let old = NOW.0 - Settings::default().key_age_max_ms - 1;
     expect_that!(claim(key(old), 1, 1), none());
     expect_that!(claim(key(old + 1), 1, 1), some(anything()));
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn first_claim_wins_and_the_second_learns_whose_it_is() {
+fn first_claim_wins_and_the_second_gets_its_fingerprint() {
     let mut bucket = Bucket::default();
     let first = claim(key(NOW.0), 7, 1).unwrap();
     let second = claim(key(NOW.0), 7, 2).unwrap();
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn own_claim_is_known_again_by_its_nonce() {
+fn own_claim_is_recognized_by_its_nonce() {
     let mut bucket = Bucket::default();
     let first = claim(key(NOW.0), 7, 1).unwrap();
     bucket.add(&first);
@@ -75,12 +75,12 @@
 }
 
 #[gtest]
-fn value_that_is_no_bucket_is_refused() {
+fn malformed_bucket_is_refused() {
     expect_that!(Bucket::decode(&[1, 2, 3]).is_none(), eq(true));
 }
 
 #[gtest]
-fn lease_outlives_the_last_key_that_is_taken() {
+fn lease_outlives_the_last_accepted_key() {
     let settings = Settings::default();
     let bucket_id = claim(key(NOW.0), 1, 1).unwrap().bucket_id();
     let lease_begins = NOW.0 - settings.key_lead_max_ms;
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn one_continuation_has_one_claim_on_every_instance() {
+fn continuation_has_the_same_claim_on_every_instance() {
     let one = Claim::continuation(key(NOW.0), 2, 5, 1).unwrap();
     let other = Claim::continuation(key(NOW.0), 2, 6, 2).unwrap();
     let next = Claim::continuation(key(NOW.0), 3, 5, 1).unwrap();
--- a/crates/core/tests/cursor.rs
+++ b/crates/core/tests/cursor.rs
@@ -1,4 +1,4 @@
-//! Cursors: read back whole, or not at all.
+//! Encoding, decoding and authentication of cursors.
 
 use {
     googletest::prelude::*,
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn cursor_is_read_back() {
+fn cursor_round_trips() {
     let bytes = cursor().encode(&[1; 32]);
     expect_that!(Cursor::decode(&bytes, &[1; 32]), some(eq(cursor())));
 }
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn cursor_cut_short_is_refused() {
+fn truncated_cursor_is_refused() {
     let bytes = cursor().encode(&[1; 32]);
     expect_that!(Cursor::decode(&bytes[..10], &[1; 32]), none());
 }
--- a/crates/core/tests/informer.rs
+++ b/crates/core/tests/informer.rs
@@ -1,4 +1,4 @@
-//! What an instance asks of the store, one answer at a time.
+//! Calls that an informer makes of the store, one answer at a time.
 
 use {
     googletest::prelude::*,
@@ -13,9 +13,9 @@
     },
 };
 
-/// An informer that asks alone, and the store's state.
+/// An independent informer and its view of the store's availability.
 struct Test {
-    absence: Availability,
+    availability: Availability,
     informer: Informer,
     now: Time,
     outputs: Vec<Output>,
@@ -24,48 +24,48 @@
 impl Test {
     fn new() -> Self {
         let now = Time(1_000_000);
-        let absence = Availability::new(1_200);
+        let availability = Availability::new(1_200);
         let bound = StalenessBound { bound_ms: 2_000 };
         let mut test = Self {
-            absence,
-            informer: Informer::new(bound, 2_000, absence, now),
+            availability,
+            informer: Informer::new(bound, 2_000, availability, now),
             now,
             outputs: Vec::new(),
         };
-        test.take(Input::Tick);
+        test.handle(Input::Tick);
         test
     }
 
-    /// One that knows a list up to a position.
-    fn knowing(position: Position) -> Self {
+    /// An informer that knows the list up to a position.
+    fn with_position(position: Position) -> Self {
         let mut test = Self::new();
         let call = test.call();
-        test.answer(call, known(position));
+        test.answer(call, empty_answer(position));
         test
     }
 
-    fn take(&mut self, input: Input) {
-        let outputs = self.informer.handle(input, self.absence, self.now);
+    fn handle(&mut self, input: Input) {
+        let outputs = self.informer.handle(input, self.availability, self.now);
         self.outputs.extend(outputs);
     }
 
     fn answer(&mut self, call: Call, answer: Answer) {
         if let Answer::Complete(_, position) = &answer {
-            self.absence.observe_era(position.era, self.now);
+            self.availability.observe_era(position.era, self.now);
         }
-        self.absence.record_success(self.now);
-        self.take(Input::Answered(call.id, answer));
+        self.availability.record_success(self.now);
+        self.handle(Input::Answered(call.id, answer));
     }
 
-    /// The last call of the list, made within some time.
+    /// The last call of the list within 2 s.
     fn call(&mut self) -> Call {
-        self.call_within(2_000).expect("the list is asked for")
+        self.call_within(2_000).expect("a call of the list is due")
     }
 
-    fn call_within(&mut self, millis: u64) -> Option<Call> {
-        let end = self.now.after(millis);
+    fn call_within(&mut self, limit_ms: u64) -> Option<Call> {
+        let end = self.now.after(limit_ms);
         loop {
-            let asked = self
+            let call = self
                 .outputs
                 .drain(..)
                 .rev()
@@ -73,29 +73,29 @@
                     Output::Call(call) if call.topic == Topic::Upstreams => Some(call),
                     _ => None,
                 });
-            if asked.is_some() || self.now >= end {
-                return asked;
+            if call.is_some() || self.now >= end {
+                return call;
             }
             self.now = self.now.after(10);
-            self.take(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
-    /// Whether the store was found to have come back from a copy.
-    fn returned(&self) -> bool {
+    /// Whether the informer found that the store was restored from a backup.
+    fn is_restored(&self) -> bool {
         let era = |output: &Output| matches!(output, Output::Era(_));
         self.outputs.iter().any(era)
     }
 }
 
-/// An answer that lists nothing up to a position.
-fn known(position: Position) -> Answer {
+/// An answer without entries up to a position.
+fn empty_answer(position: Position) -> Answer {
     Answer::Complete(Content::Upstreams(Vec::new()), position)
 }
 
 #[gtest]
 fn store_that_forgets_all_is_asked_with_pauses() {
-    let mut test = Test::knowing(Position::new(0, 5));
+    let mut test = Test::with_position(Position::new(0, 5));
     let mut calls = 0;
     let end = test.now.after(3_000);
     while test.now < end && calls < 100 {
@@ -105,7 +105,7 @@
         calls += 1;
         let answer = match call.since {
             Some(_) => Answer::Compacted,
-            None => known(Position::new(0, 5)),
+            None => empty_answer(Position::new(0, 5)),
         };
         test.answer(call, answer);
     }
@@ -113,25 +113,25 @@
 }
 
 #[gtest]
-fn changes_behind_a_position_of_another_era_are_read_anew() {
-    let mut test = Test::knowing(Position::new(1, 900));
+fn changes_since_a_position_of_another_era_cause_a_full_read() {
+    let mut test = Test::with_position(Position::new(1, 900));
     let watch = test.call();
     expect_that!(watch.since, some(eq(Position::new(1, 900))));
-    test.answer(watch, known(Position::new(2, 905)));
+    test.answer(watch, empty_answer(Position::new(2, 905)));
     let next = test.call_within(100);
     expect_that!(next.map(|call| call.since), some(none()));
 }
 
 #[gtest]
 fn answer_of_an_earlier_era_is_dropped() {
-    let mut test = Test::knowing(Position::new(1, 900));
+    let mut test = Test::with_position(Position::new(1, 900));
     test.call();
-    test.absence.observe_era(2, test.now);
-    test.take(Input::Tick);
-    let whole = test.call();
-    expect_that!(whole.since, none());
+    test.availability.observe_era(2, test.now);
+    test.handle(Input::Tick);
+    let full_read = test.call();
+    expect_that!(full_read.since, none());
     test.outputs.clear();
-    test.answer(whole, known(Position::new(1, 950)));
+    test.answer(full_read, empty_answer(Position::new(1, 950)));
     let outdated = |output: &Output| matches!(output, Output::Outdated(Topic::Upstreams));
     expect_that!(test.outputs.iter().any(outdated), eq(true));
     expect_that!(test.informer.known_state().list.era, le(1));
@@ -139,14 +139,14 @@
 }
 
 #[gtest]
-fn first_era_that_is_seen_is_no_return() {
-    let test = Test::knowing(Position::new(7, 5));
-    expect_that!(test.returned(), eq(false));
+fn first_era_is_no_restore() {
+    let test = Test::with_position(Position::new(7, 5));
+    expect_that!(test.is_restored(), eq(false));
 }
 
 #[gtest]
-fn newer_era_that_another_instance_tells_is_entered_and_an_older_one_is_not() {
-    let tells = |era| PeerReport {
+fn newer_era_from_a_peer_is_entered_and_an_older_one_is_not() {
+    let report = |era| PeerReport {
         update: Some(RosterUpdate {
             changes: vec![Change {
                 entry: Entry::Deleted,
@@ -162,11 +162,11 @@
         }),
         ..PeerReport::default()
     };
-    let mut test = Test::knowing(Position::new(1, 900));
+    let mut test = Test::with_position(Position::new(1, 900));
     test.call();
-    test.take(Input::PeerReport(tells(0)));
-    expect_that!(test.returned(), eq(false));
-    test.take(Input::PeerReport(tells(2)));
-    expect_that!(test.returned(), eq(true));
+    test.handle(Input::PeerReport(report(0)));
+    expect_that!(test.is_restored(), eq(false));
+    test.handle(Input::PeerReport(report(2)));
+    expect_that!(test.is_restored(), eq(true));
     expect_that!(test.call().since, none());
 }
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which few of the instances have a task, while each knows of the fleet at a time of its own.
+//! Election of the few instances that perform a task, while instances learn of the fleet at different times.
 
 use {
     googletest::prelude::*,
@@ -11,26 +11,26 @@
 };
 
 /// Time within which all instances hear of a change, in milliseconds.
-const SETTLES_MS: u64 = 4_000;
+const CONVERGENCE_MS: u64 = 4_000;
 
-/// Time of one step, in milliseconds.
+/// Length of one step, in milliseconds.
 const STEP_MS: u64 = 100;
 
-/// Steps of one run.
+/// Number of steps of one run.
 const STEPS: u64 = 1_200;
 
-/// An instance of a fleet that changes.
+/// An instance of a changing fleet.
 #[derive(Clone, Debug, Default)]
 struct Instance {
-    /// Whether it has heard of the fleet.
-    knows: bool,
+    /// Whether it has a view of the fleet.
+    has_view: bool,
     members: Members,
-    /// The number of the change that it reads next, and when.
+    /// Index of the change that it learns of next, and when; 0 if the time is not drawn yet.
     next: (usize, u64),
 }
 
-/// The most that act at once in a fleet whose instances hear of each change up to `lag_ms` late.
-fn most(seed: u64, few: usize, lag_ms: u64) -> usize {
+/// Maximum number of instances acting at once in a fleet that learns of each change up to `lag_ms` late.
+fn max_acting(seed: u64, elected_count: usize, lag_ms: u64) -> usize {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut listed: Vec<u64> = (0..random.random_range(2..9)).collect();
     let mut changes = vec![listed.clone()];
@@ -38,12 +38,13 @@
     for number in 0..40 {
         instances.push((number, Instance::default()));
     }
-    let mut most = 0;
+    let mut max = 0;
     let mut changed = 0;
     for step in 0..STEPS {
         let now = step * STEP_MS;
-        // Changes that come faster than instances hear of them are a loss of the fleet, which the users' rule excuses.
-        if now > changed + SETTLES_MS && random.random_range(0..20) == 0 {
+        // Changes that come faster than instances hear of them count as a loss of the fleet, which the users' rule
+        // excuses.
+        if now > changed + CONVERGENCE_MS && random.random_range(0..20) == 0 {
             changed = now;
             let leaves = listed.len() > 2 && random.random_range(0..2) == 0;
             if leaves {
@@ -69,32 +70,32 @@
             if next < changes.len() && now >= instance.next.1 && listed.contains(number) {
                 let others = changes[next].iter().copied();
                 let view = View {
+                    convergence_ms: CONVERGENCE_MS,
                     others: others.filter(|other| other != number).collect(),
                     own: *number,
-                    convergence_ms: SETTLES_MS,
                 };
-                instance.members.see(view, Time(now));
-                instance.knows = true;
+                instance.members.record_view(view, Time(now));
+                instance.has_view = true;
                 instance.next = (next + 1, 0);
             }
         }
         let acts = |number: &u64| {
             let instance = &instances[*number as usize].1;
-            let from = instance.members.active_from(few, 7);
-            instance.knows && from.is_some_and(|from| Time(now) >= from)
+            let from = instance.members.active_from(elected_count, 7);
+            instance.has_view && from.is_some_and(|from| Time(now) >= from)
         };
-        most = most.max(listed.iter().filter(|number| acts(number)).count());
+        max = max.max(listed.iter().filter(|number| acts(number)).count());
     }
-    most
+    max
 }
 
 #[gtest]
-fn never_more_act_than_the_few_while_instances_hear_of_the_fleet_at_times_of_their_own() {
+fn no_more_instances_act_than_elected_while_views_differ() {
     for seed in 0..200 {
-        for few in [1, 2, 4] {
+        for elected_count in [1, 2, 4] {
             expect_that!(
-                most(seed, few, SETTLES_MS - STEP_MS),
-                le(few),
+                max_acting(seed, elected_count, CONVERGENCE_MS - STEP_MS),
+                le(elected_count),
                 "seed {seed}"
             );
         }
@@ -102,16 +103,16 @@
 }
 
 #[gtest]
-fn all_of_the_few_act_in_a_fleet_that_stays() {
+fn all_elected_instances_act_in_a_stable_fleet() {
     for instances in [1, 6, 90, 300] {
-        for few in [1, 3, 11] {
+        for elected_count in [1, 3, 11] {
             let acts = |own: &u64| {
                 let mut members = Members::default();
-                members.see(View::numbered(*own, instances), Time(1));
-                members.active_from(few, 7) == Some(Time(1))
+                members.record_view(View::numbered(*own, instances), Time(1));
+                members.active_from(elected_count, 7) == Some(Time(1))
             };
             let acting = (0..instances).filter(acts).count();
-            expect_that!(acting, eq(few.min(instances as usize)));
+            expect_that!(acting, eq(elected_count.min(instances as usize)));
         }
     }
 }
@@ -122,7 +123,7 @@
     for topic in 0..300 {
         for (own, count) in tasks.iter_mut().enumerate() {
             let mut members = Members::default();
-            members.see(View::numbered(own as u64, 30), Time(1));
+            members.record_view(View::numbered(own as u64, 30), Time(1));
             *count += usize::from(members.active_from(2, topic * 0x9e37_79b9).is_some());
         }
     }
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of the list of upstreams.
+//! Updates of the list of upstreams between instances.
 
 use {
     googletest::prelude::*,
@@ -10,16 +10,16 @@
     },
 };
 
-/// When everything happens.
+/// Time of all events.
 const NOW: Time = Time(1_000_000);
 
-/// A revision of a store that never came back from a copy.
+/// A revision of a store that was never restored.
 fn at(revision: u64) -> Position {
     Position::new(0, revision)
 }
 
-/// Word of one change at a revision, behind an earlier one.
-fn word(from: u64, to: u64) -> RosterUpdate {
+/// An update with one change at revision `to`, which follows `from`.
+fn update(from: u64, to: u64) -> RosterUpdate {
     let (from, to) = (at(from), at(to));
     let name = format!("engine-{}", to.revision);
     let listed = Listed {
@@ -59,44 +59,44 @@
 }
 
 #[gtest]
-fn word_that_follows_what_is_known_is_taken_in() {
+fn update_in_sequence_is_applied() {
     let mut roster = Roster::default();
     expect_that!(
-        roster.apply_update(&word(1, 2), at(1), NOW),
+        roster.apply_update(&update(1, 2), at(1), NOW),
         eq(UpdateOutcome::Applied)
     );
     expect_that!(names(&roster), elements_are![eq("engine-2")]);
 }
 
 #[gtest]
-fn word_that_misses_a_change_is_a_gap_and_changes_nothing() {
+fn update_after_a_missed_change_is_a_gap_and_changes_nothing() {
     let mut roster = Roster::default();
     expect_that!(
-        roster.apply_update(&word(2, 3), at(1), NOW),
+        roster.apply_update(&update(2, 3), at(1), NOW),
         eq(UpdateOutcome::Gap)
     );
     expect_that!(names(&roster), is_empty());
 }
 
 #[gtest]
-fn word_of_what_is_known_is_old() {
+fn update_of_known_changes_is_stale() {
     let mut roster = Roster::default();
     expect_that!(
-        roster.apply_update(&word(1, 2), at(5), NOW),
+        roster.apply_update(&update(1, 2), at(5), NOW),
         eq(UpdateOutcome::Stale)
     );
 }
 
 #[gtest]
-fn words_that_overtook_others_are_taken_in_after_these() {
+fn updates_that_arrive_early_are_applied_in_sequence() {
     let mut roster = Roster::default();
-    let mut early = vec![word(3, 4), word(2, 3), word(8, 9)];
+    let mut early_updates = vec![update(3, 4), update(2, 3), update(8, 9)];
     expect_that!(
-        roster.apply_update(&word(1, 2), at(1), NOW),
+        roster.apply_update(&update(1, 2), at(1), NOW),
         eq(UpdateOutcome::Applied)
     );
-    expect_that!(roster.catch_up(at(2), &mut early, NOW), eq(at(4)));
-    expect_that!(early.len(), eq(1));
+    expect_that!(roster.catch_up(at(2), &mut early_updates, NOW), eq(at(4)));
+    expect_that!(early_updates.len(), eq(1));
     expect_that!(
         names(&roster),
         elements_are![eq("engine-2"), eq("engine-3"), eq("engine-4")]
@@ -107,15 +107,15 @@
 fn first_word_tells_only_up_to_where_the_list_is_known() {
     let mut roster = Roster::default();
     roster.set_announced(at(7));
-    let told = roster.pending_updates(at(9), 0, NOW);
-    expect_that!(told.len(), eq(1));
-    expect_that!((told[0].from, told[0].to), eq((at(7), at(9))));
+    let updates = roster.pending_updates(at(9), 0, NOW);
+    expect_that!(updates.len(), eq(1));
+    expect_that!((updates[0].from, updates[0].to), eq((at(7), at(9))));
     let next = roster.pending_updates(at(12), 0, NOW);
     expect_that!((next[0].from, next[0].to), eq((at(9), at(12))));
 }
 
-/// Word from one that the store refused until now that an entry is gone.
-fn gone(from: u64, to: u64, name: &str) -> RosterUpdate {
+/// An update that an entry was deleted, from an instance that the store refused until now.
+fn deleted(from: u64, to: u64, name: &str) -> RosterUpdate {
     RosterUpdate {
         changes: vec![Change {
             entry: Entry::Deleted,
@@ -132,63 +132,63 @@
 }
 
 #[gtest]
-fn entry_that_goes_while_the_store_answers_here_is_gone_though_it_refused_the_teller() {
+fn deleted_entry_has_no_grace_period_if_the_store_answers_here_and_refused_only_the_sender() {
     let mut roster = Roster::default();
-    roster.apply_update(&word(1, 2), at(1), NOW);
-    roster.apply_update(&gone(2, 3, "engine-2"), at(2), NOW);
+    roster.apply_update(&update(1, 2), at(1), NOW);
+    roster.apply_update(&deleted(2, 3, "engine-2"), at(2), NOW);
     expect_that!(names(&roster), is_empty());
 }
 
 #[gtest]
-fn entry_that_goes_while_the_store_is_away_here_too_is_believed_for_a_while() {
+fn deleted_entry_has_a_grace_period_if_the_store_is_down_here_too() {
     let mut roster = Roster::default();
-    roster.apply_update(&word(1, 2), at(1), NOW);
+    roster.apply_update(&update(1, 2), at(1), NOW);
     roster.is_store_down = true;
-    roster.apply_update(&gone(2, 3, "engine-2"), at(2), NOW);
+    roster.apply_update(&deleted(2, 3, "engine-2"), at(2), NOW);
     expect_that!(names(&roster), elements_are![eq("engine-2")]);
 }
 
-/// Word that an entry was written which names no upstream to use.
-fn odd(from: u64, to: u64, name: &str) -> RosterUpdate {
-    let mut word = gone(from, to, name);
-    word.changes[0].entry = Entry::Invalid;
-    word
+/// An update that an entry was written which names no usable upstream.
+fn invalid(from: u64, to: u64, name: &str) -> RosterUpdate {
+    let mut update = deleted(from, to, name);
+    update.changes[0].entry = Entry::Invalid;
+    update
 }
 
 #[gtest]
-fn entry_that_names_no_upstream_takes_the_one_under_its_name_out_and_no_other() {
+fn invalid_entry_removes_the_upstream_of_its_name_and_no_other() {
     let mut roster = Roster::default();
-    roster.apply_update(&word(1, 2), at(1), NOW);
-    roster.apply_update(&word(2, 3), at(2), NOW);
-    // Also where entries that go are believed for a while: it was written, and the store was there.
+    roster.apply_update(&update(1, 2), at(1), NOW);
+    roster.apply_update(&update(2, 3), at(2), NOW);
+    // Also in the grace period of missing entries: the entry was written, so the store was up.
     roster.is_store_down = true;
-    roster.apply_update(&odd(3, 4, "engine-2"), at(3), NOW);
+    roster.apply_update(&invalid(3, 4, "engine-2"), at(3), NOW);
     expect_that!(names(&roster), elements_are![eq("engine-3")]);
 }
 
 #[gtest]
-fn good_entry_behind_an_odd_one_brings_its_upstream_back() {
+fn valid_entry_after_an_invalid_one_restores_its_upstream() {
     let mut roster = Roster::default();
-    roster.apply_update(&word(1, 2), at(1), NOW);
-    roster.apply_update(&odd(2, 3, "engine-2"), at(2), NOW);
-    let mut good = word(3, 4);
+    roster.apply_update(&update(1, 2), at(1), NOW);
+    roster.apply_update(&invalid(2, 3, "engine-2"), at(2), NOW);
+    let mut good = update(3, 4);
     good.changes[0].name = "engine-2".into();
     roster.apply_update(&good, at(3), NOW);
     expect_that!(roster.listed().len(), eq(1));
 }
 
 #[gtest]
-fn odd_entries_are_told_to_others() {
+fn invalid_entries_are_announced() {
     let mut roster = Roster::default();
     roster.set_announced(at(1));
-    roster.apply_changes(odd(1, 2, "engine-2").changes, None, NOW);
-    let told = roster.pending_updates(at(2), 0, NOW);
-    expect_that!(told[0].changes[0].entry, eq(&Entry::Invalid));
+    roster.apply_changes(invalid(1, 2, "engine-2").changes, None, NOW);
+    let updates = roster.pending_updates(at(2), 0, NOW);
+    expect_that!(updates[0].changes[0].entry, eq(&Entry::Invalid));
 }
 
-/// All that a store of some era lists: one upstream, ready or leaving, as it was written at a revision.
+/// Full list of a store in some era: one upstream, ready or leaving, as written at a revision.
 fn listed(era: u64, revision: u64, leaving: bool) -> Vec<Change> {
-    let mut changes = word(0, 2).changes;
+    let mut changes = update(0, 2).changes;
     changes[0].position = Position::new(era, revision);
     if let Entry::Listed(listed) = &mut changes[0].entry {
         listed.leaving = leaving;
@@ -196,56 +196,58 @@
     changes
 }
 
-/// Whether the one upstream of a roster is listed, and then whether it leaves.
-fn leaves(roster: &Roster) -> Option<bool> {
+/// Whether the only upstream is leaving; `None` if none is listed.
+fn is_leaving(roster: &Roster) -> Option<bool> {
     roster.listed().first().map(|listed| listed.leaving)
 }
 
 #[gtest]
-fn life_that_left_stays_so_in_an_older_copy_and_not_for_ever() {
+fn leaving_incarnation_stays_leaving_in_an_older_backup_for_a_limited_time() {
     let mut roster = Roster::default();
     roster.replace_all(&listed(1, 900, true), Position::new(1, 901), None, NOW);
-    let copy = listed(2, 800, false);
-    roster.replace_all(&copy, Position::new(2, 801), None, NOW);
-    expect_that!(leaves(&roster), some(eq(true)));
+    let backup = listed(2, 800, false);
+    roster.replace_all(&backup, Position::new(2, 801), None, NOW);
+    expect_that!(is_leaving(&roster), some(eq(true)));
     let later = NOW.after(600_000);
-    roster.replace_all(&copy, Position::new(2, 801), None, later);
-    expect_that!(leaves(&roster), some(eq(false)));
+    roster.replace_all(&backup, Position::new(2, 801), None, later);
+    expect_that!(is_leaving(&roster), some(eq(false)));
 }
 
 #[gtest]
-fn life_that_went_is_there_again_only_if_it_wrote_since() {
+fn deleted_incarnation_returns_only_if_it_wrote_since() {
     let mut roster = Roster::default();
     roster.replace_all(&listed(1, 700, false), Position::new(1, 701), None, NOW);
-    let mut gone = gone(0, 900, "engine-2").changes;
-    gone[0].position = Position::new(1, 900);
-    roster.apply_changes(gone, None, NOW);
-    expect_that!(leaves(&roster), none());
+    let mut deleted = deleted(0, 900, "engine-2").changes;
+    deleted[0].position = Position::new(1, 900);
+    roster.apply_changes(deleted, None, NOW);
+    expect_that!(is_leaving(&roster), none());
     roster.replace_all(&listed(2, 700, false), Position::new(2, 801), None, NOW);
-    expect_that!(leaves(&roster), none());
+    expect_that!(is_leaving(&roster), none());
     roster.apply_changes(listed(2, 901, false), None, NOW);
-    expect_that!(leaves(&roster), some(eq(false)));
+    expect_that!(is_leaving(&roster), some(eq(false)));
 }
 
-/// A life missing from a whole list had gone by then; the last change known before says less.
+/// An incarnation missing from a full list had departed by the list's position, which may be later than the last known
+/// change.
 #[gtest]
-fn life_that_a_whole_list_lacks_is_not_there_again_in_a_copy_from_before_the_list() {
+fn incarnation_missing_from_a_full_list_does_not_return_in_an_older_backup() {
     let mut roster = Roster::default();
     roster.replace_all(&listed(1, 700, false), Position::new(1, 701), None, NOW);
     roster.replace_all(&[], Position::new(1, 900), None, NOW);
     roster.replace_all(&listed(2, 850, false), Position::new(2, 860), None, NOW);
-    expect_that!(leaves(&roster), none());
+    expect_that!(is_leaving(&roster), none());
 }
 
-/// Upstreams could not enter themselves, since the store was away again soon: who is told believes entries that go as long as who saw it.
+/// The store was down again soon and upstreams could not register meanwhile: an instance that is told must extend the
+/// grace period like the one that saw it.
 #[gtest]
-fn belief_that_was_put_off_is_told_with_words() {
+fn extended_grace_period_is_taken_from_updates() {
     let mut roster = Roster::default();
     roster.is_store_down = true;
-    let mut first = word(1, 2);
+    let mut first = update(1, 2);
     (first.outage_ms, first.grace_ms) = (3_000, 1_200);
     roster.apply_update(&first, at(1), NOW);
-    let mut second = gone(2, 3, "engine-2");
+    let mut second = deleted(2, 3, "engine-2");
     (second.outage_ms, second.grace_ms, second.is_grace_extended) = (3_000, 2_000, true);
     roster.apply_update(&second, at(2), NOW);
     expect_that!(roster.grace_ms(NOW), eq(2_000));
