--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     capacity: f64,
-    last: Time,
     /// Minimum capacity in permits, and the maximum that may be owed.
-    least: f64,
+    capacity_min: f64,
+    last: Time,
     level: f64,
     /// Part of capacity and refill that this instance may use, from 0 to 1.
     part: f64,
@@ -25,16 +25,16 @@
 impl Budget {
     /// Adds a fraction of a permit for admitted work.
     pub fn earn(&mut self, permits: f64) {
-        let most = (self.capacity * self.part).max(self.least);
-        self.level = (self.level + permits).min(most);
+        let capacity = (self.capacity * self.part).max(self.capacity_min);
+        self.level = (self.level + permits).min(capacity);
     }
 
     /// Creates a full bucket of `capacity` permits that gains `refill_per_second`.
     pub fn new(capacity: f64, refill_per_second: f64, now: Time) -> Self {
         Self {
             capacity,
+            capacity_min: 1.0,
             last: now,
-            least: 1.0,
             level: capacity,
             part: 1.0,
             refill_per_second,
@@ -42,9 +42,9 @@
     }
 
     /// Restricts this instance to its part of capacity and refill in a fleet of `instances`; the bucket holds at least
-    /// `least` permits, and as many may be owed.
-    pub fn share(&mut self, instances: u32, least: f64) {
-        self.least = least;
+    /// `capacity_min` permits, and as many may be owed.
+    pub fn share(&mut self, instances: u32, capacity_min: f64) {
+        self.capacity_min = capacity_min;
         self.part = (FULL_INSTANCES / f64::from(instances.max(1))).min(1.0);
     }
 
@@ -53,7 +53,7 @@
         let earned = now.since(self.last) as f64 / 1000.0 * self.refill_per_second * self.part;
         self.last = now;
         self.earn(earned);
-        if self.level + self.least <= 1.0 {
+        if self.level + self.capacity_min <= 1.0 {
             return false;
         }
         self.level -= 1.0;
--- a/crates/core/src/informer.rs
+++ b/crates/core/src/informer.rs
@@ -203,7 +203,9 @@
     /// Time until which the known state of a topic counts as current without another confirmation.
     fn confirmed_until(&self, topic: Topic) -> Option<Time> {
         let calls = self.topic_calls(topic);
-        let until = calls.confirmed.after(self.bound.unconfirmed_ms(self.rank));
+        let until = calls
+            .confirmed_at
+            .after(self.bound.unconfirmed_ms(self.rank));
         self.is_confirmed(topic).then_some(until)
     }
 
@@ -290,7 +292,7 @@
         if call.since.is_some() {
             self.topic_calls_mut(topic).record_changes();
         }
-        self.topic_calls_mut(topic).confirmed = now;
+        self.topic_calls_mut(topic).confirmed_at = now;
         if confirms && self.rank.count > 1 {
             self.outputs.push(Output::Confirm(Confirmed { to, topic }));
         }
@@ -574,7 +576,7 @@
         let calls = self.topic_calls_mut(topic);
         calls.last_confirmation = now;
         if same {
-            calls.confirmed = now;
+            calls.confirmed_at = now;
         }
     }
 
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -382,8 +382,8 @@
     }
 
     /// Records that an incarnation is leaving or was deleted.
-    fn record_departure(&mut self, life: Incarnation, leaving: bool, at: Time) {
-        let known = self.departures.get(&life);
+    fn record_departure(&mut self, incarnation: Incarnation, leaving: bool, at: Time) {
+        let known = self.departures.get(&incarnation);
         if known.is_some_and(|departure| {
             departure.leaving || !leaving && departure.to.era == self.newest_seen.era
         }) {
@@ -399,7 +399,8 @@
             self.departures.remove(&oldest);
         }
         let to = self.newest_seen;
-        self.departures.insert(life, Departure { at, leaving, to });
+        self.departures
+            .insert(incarnation, Departure { at, leaving, to });
     }
 
     /// Removes an entry and records the departure of its incarnation.
@@ -471,8 +472,8 @@
     }
 
     fn mark_missing(&mut self, name: &str, now: Time) {
-        if let Some(life) = self.overwritten.remove(name) {
-            self.record_departure(life, false, now);
+        if let Some(incarnation) = self.overwritten.remove(name) {
+            self.record_departure(incarnation, false, now);
         }
         if !self.entries.contains_key(name) {
             return;
--- a/crates/core/src/staleness.rs
+++ b/crates/core/src/staleness.rs
@@ -12,7 +12,7 @@
 /// Maximum time-out of a call of the configuration, with the pause after it, in milliseconds: what the reads of a
 /// configuration that peers have leave.
 const CALL_MAX_MS: u64 =
-    RECOVERY_MS - MARGIN_MS - store_calls::RETRY_MAX_MS - informer::READ_PAUSES_TOTAL_MS;
+    RECOVERY_MS - MARGIN_MS - store_calls::BACKOFF_MAX_MS - informer::READ_PAUSES_TOTAL_MS;
 
 /// Maximum silence of peers, in milliseconds: what a call of the list that was sent just before the return leaves.
 const SILENCE_MAX_MS: u64 = RECOVERY_MS - MARGIN_MS - store_calls::FAST_RETRY_TOTAL_MS;
--- a/crates/core/src/store_calls.rs
+++ b/crates/core/src/store_calls.rs
@@ -12,7 +12,7 @@
 
 /// Backoff after a failed call, in milliseconds; doubled with each further failure up to the end of the range. Refused
 /// calls are paid for in full, even those that cost a tenth when they are answered.
-const RETRY_MS: RangeInclusive<u64> = 250..=1_000;
+const BACKOFF_MS: RangeInclusive<u64> = 250..=1_000;
 
 /// Time-out and pause of a fast retry, in milliseconds, used where missing entries have a grace period from the first
 /// answer on. Together they are below a second, so that with the two seconds of grace an instance knows the state of
@@ -23,20 +23,20 @@
 const FAST_RETRY_FAILURES: u32 = 40;
 
 /// Maximum pause after a failed call, in milliseconds.
-pub(crate) const RETRY_MAX_MS: u64 = *RETRY_MS.end();
+pub(crate) const BACKOFF_MAX_MS: u64 = *BACKOFF_MS.end();
 
 /// Sum of time-out and pause of a fast retry, in milliseconds.
 pub(crate) const FAST_RETRY_TOTAL_MS: u64 = FAST_RETRY_MS.0 + FAST_RETRY_MS.1;
 
 /// Maximum pause of an instance that can not serve anybody before it has read, in milliseconds.
-const RETRY_AT_START_MS: u64 = 100;
+const BACKOFF_AT_START_MS: u64 = 100;
 
 /// Minimum pause after a failed call when the store has answered another call since, in milliseconds.
-const RETRY_BACK_MS: u64 = 50;
+const BACKOFF_MIN_MS: u64 = 50;
 
 /// Time after any answer of the store in which a failed call is retried after the minimum backoff, in milliseconds: it
 /// may have begun before the path recovered, and a connection takes a second to fail.
-const BACK_MS: u64 = 1_500;
+const RECENT_ANSWER_MS: u64 = 1_500;
 
 /// Time that a watch has left once peers are known to be ahead, in milliseconds.
 const BEHIND_MS: u64 = 500;
@@ -62,11 +62,11 @@
     /// Whether the last call was answered.
     pub(crate) answered: bool,
     /// Since when peers are known to be ahead.
-    behind: Option<Time>,
+    behind_since: Option<Time>,
     /// When the store last confirmed the newest state, here or to a peer that knows as much.
-    pub(crate) confirmed: Time,
+    pub(crate) confirmed_at: Time,
     /// When the last call failed; `None` while the store answers.
-    failed: Option<Time>,
+    failed_at: Option<Time>,
     /// The pending call.
     pub(crate) pending: Option<PendingCall>,
     /// Time within which the next answer must begin, in milliseconds.
@@ -90,9 +90,9 @@
     fn default() -> Self {
         Self {
             answered: false,
-            behind: None,
-            confirmed: Time::default(),
-            failed: None,
+            behind_since: None,
+            confirmed_at: Time::default(),
+            failed_at: None,
             pending: None,
             timeout_ms: TIMEOUT_MS,
             pause_ms: 0,
@@ -126,7 +126,7 @@
     /// Records an answer to the pending call.
     pub fn record_success(&mut self) {
         self.answered = true;
-        self.failed = None;
+        self.failed_at = None;
         self.failures = 0;
         self.pending = None;
         self.timeout_ms = TIMEOUT_MS;
@@ -145,14 +145,18 @@
         self.pause_ms = self.backoff(urgent, availability, now);
         self.timeout_ms = self.next_timeout(availability, bound);
         self.answered = false;
-        self.failed = Some(now);
+        self.failed_at = Some(now);
         self.pending = None;
     }
 
     /// Records that the store has compacted the changes: everything is read at once, but after a pause if it happens
     /// twice in a row, since a store that compacts everything would be called 200 times a second.
     pub(crate) fn record_compaction(&mut self, now: Time) {
-        let pause = if self.compacted { *RETRY_MS.start() } else { 0 };
+        let pause = if self.compacted {
+            *BACKOFF_MS.start()
+        } else {
+            0
+        };
         self.compacted = true;
         self.position = None;
         self.not_before = now.after(pause);
@@ -197,19 +201,19 @@
             // A store that refuses at once is not called twenty times a second.
             let elapsed_ms = self.pending.map_or(0, |pending| now.since(pending.began));
             return if elapsed_ms < TIMEOUT_MS {
-                (self.pause_ms * 2).clamp(*RETRY_MS.start(), FAST_RETRY_TOTAL_MS)
+                (self.pause_ms * 2).clamp(*BACKOFF_MS.start(), FAST_RETRY_TOTAL_MS)
             } else {
                 FAST_RETRY_MS.1
             };
         }
-        let is_back = |answered: Time| now.since(answered) < BACK_MS;
+        let is_back = |answered: Time| now.since(answered) < RECENT_ANSWER_MS;
         let pause = if availability.last_answer().is_some_and(is_back) {
-            *RETRY_MS.start()
+            *BACKOFF_MS.start()
         } else {
-            (self.pause_ms * 2).clamp(*RETRY_MS.start(), *RETRY_MS.end())
+            (self.pause_ms * 2).clamp(*BACKOFF_MS.start(), *BACKOFF_MS.end())
         };
         if urgent {
-            pause.min(RETRY_AT_START_MS)
+            pause.min(BACKOFF_AT_START_MS)
         } else {
             pause
         }
@@ -217,17 +221,17 @@
 
     /// Whether the last call failed.
     pub(crate) fn has_failed(&self) -> bool {
-        self.failed.is_some()
+        self.failed_at.is_some()
     }
 
     /// Earliest time of the next call.
     pub fn next_call_at(&self, availability: &Availability) -> Time {
-        let Some(failed) = self.failed else {
+        let Some(failed) = self.failed_at else {
             return self.not_before;
         };
         let retry_at = failed.after(self.pause_ms);
-        if availability.last_answer() >= self.failed {
-            retry_at.min(failed.after(RETRY_BACK_MS))
+        if availability.last_answer() >= self.failed_at {
+            retry_at.min(failed.after(BACKOFF_MIN_MS))
         } else {
             retry_at
         }
@@ -235,7 +239,7 @@
 
     /// Records whether peers are known to be ahead.
     pub(crate) fn set_behind(&mut self, behind: bool, now: Time) {
-        self.behind = behind.then(|| self.behind.unwrap_or(now));
+        self.behind_since = behind.then(|| self.behind_since.unwrap_or(now));
     }
 
     /// When to abandon the pending call, and why: it is a watch and peers are ahead, or the store answered other calls
@@ -245,7 +249,7 @@
     pub(crate) fn abandon_at(&self, availability: &Availability) -> Option<(Time, CancelReason)> {
         let pending = self.pending?;
         let behind = self
-            .behind
+            .behind_since
             .filter(|_| pending.is_watch)
             .map(|behind| behind.max(pending.began).after(BEHIND_MS));
         let recovered = availability
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/learner.rs
@@ -170,10 +170,10 @@
             }
             // The task that tells ends only with the instance.
             Output::AnnounceRoster(word) => {
-                drop(self.learner.told.send(gossip::Told::Roster(word)))
+                drop(self.learner.told.send(gossip::Told::Roster(word)));
             }
             Output::AnnounceConfiguration => {
-                drop(self.learner.told.send(gossip::Told::Configuration))
+                drop(self.learner.told.send(gossip::Told::Configuration));
             }
             Output::Upstreams(listed) => {
                 let listed = Some(listed);
