--- a/crates/core/src/informer_io.rs
+++ b/crates/core/src/informer_io.rs
@@ -119,7 +119,7 @@
 /// An action that the informer requests.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Announce to them that another configuration is in force.
+    /// Announce to the other instances of the data centre that another configuration is in force.
     AnnounceConfiguration,
     /// Announce changes of the list to the other instances of the data centre.
     AnnounceRoster(RosterUpdate),
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -94,8 +94,8 @@
     is_grace_extended: bool,
     /// Whether a peer reported the outage.
     is_outage_reported: bool,
-    /// Whether the store was down for this instance too. If it answers here, missing entries have not expired for want
-    /// of a store, whatever instances report that it refused.
+    /// Whether the store was down for this instance too. If it answers here, missing entries have not expired
+    /// because of an outage, whatever instances report that it refused.
     pub is_store_down: bool,
     /// Position of the last known change.
     pub last_change: Position,
--- a/crates/core/src/staleness.rs
+++ b/crates/core/src/staleness.rs
@@ -6,11 +6,11 @@
 /// milliseconds: the shortest after which a deployment counts it as connected again.
 const RECOVERY_MS: u64 = 3_000;
 
-/// Part of it for slow answers, datagrams and processes, in milliseconds.
+/// Part of [`RECOVERY_MS`] that is reserved for slow answers, datagrams and processes, in milliseconds.
 const MARGIN_MS: u64 = 100;
 
-/// Maximum time-out of a call of the configuration, with the pause after it, in milliseconds: what the reads of a
-/// configuration that peers have leave.
+/// Maximum time-out of a call of the configuration, in milliseconds: what the pause after it and the reads of
+/// a configuration that peers have leave.
 const CALL_MAX_MS: u64 =
     RECOVERY_MS - MARGIN_MS - store_calls::BACKOFF_MAX_MS - informer::READ_PAUSES_TOTAL_MS;
 
