--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -166,14 +166,14 @@
             return Err(Kind::Unauthorized.into());
         }
         let print = Print::new(&customer.name, submission.fingerprint);
-        if self.is_guilty(print) {
+        if self.is_quarantined(print) {
             return Err(Kind::Quarantined.into());
         }
         self.check_work(&submission, &service)?;
         self.check_room(&customer, &service, &submission)?;
         let mut request = self.request(submission, customer, service, print)?;
         self.note_size(&request);
-        let checked = self.check_open(&request);
+        let checked = self.check_availability(&request);
         let checked = checked.and_then(|()| self.check_time(&request));
         if let Err(refusal) = checked.and_then(|()| self.check_demand(&request)) {
             self.count_refused(&request);
@@ -327,7 +327,7 @@
             .upstreams
             .iter()
             .filter_map(|key| self.upstreams.get(*key))
-            .filter(|upstream| upstream.takes_work(self.now))
+            .filter(|upstream| upstream.accepts_work(self.now))
             .map(Upstream::slots)
             .sum();
         let share = f64::from(slots.max(1)) / f64::from(self.instances.max(1));
@@ -340,7 +340,7 @@
             pool.upstreams
                 .iter()
                 .filter_map(|key| self.upstreams.get(*key))
-                .any(|upstream| upstream.health != Health::Lost && !upstream.leaves(self.now))
+                .any(|upstream| upstream.health != Health::Lost && !upstream.is_leaving(self.now))
         })
     }
 
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -82,7 +82,7 @@
     pub(crate) instances: u32,
     pub(crate) identity: u64,
     /// Upstreams by their lives; of each name at most one.
-    pub(crate) lives: sighting::Lives,
+    pub(crate) lives: sighting::UpstreamsByIncarnation,
     pub(crate) members: Members,
     pub(crate) now: Time,
     /// How long callers of each service wait.
@@ -102,11 +102,11 @@
     /// Streams that other instances told of.
     pub(crate) sightings: sighting::Sightings,
     /// What upstreams said of themselves that are listed no more.
-    pub(crate) standings: notice::Standings,
+    pub(crate) retained_states: notice::RetainedStates,
     /// Until when the list is not trusted, since this instance was paused.
     pub(crate) stale_until: Time,
     /// What is believed of requests that end their upstreams.
-    pub(crate) suspicion: Suspicion,
+    pub(crate) crash_suspects: CrashSuspects,
     pub(crate) swept: Time,
     pub(crate) upstreams: SlotMap<upstream::Key, Upstream>,
     /// When it last woke from a pause.
@@ -135,19 +135,19 @@
         self.now = self.now.max(now);
         self.sightings.advance(self.now);
         if gap > self.settings.pause_ms {
-            self.wake(gap);
+            self.resume_after_pause(gap);
         }
         match event {
             Event::Answered { attempt, verdict } => self.answered(attempt, verdict),
             Event::Blamed(life) => self.blamed(life),
             Event::CallerGone(caller) => self.caller_gone(caller),
-            Event::Carried { attempt, load } => self.carried(attempt, load),
-            Event::Checked { ended, life } => self.checked(life, ended),
+            Event::Carried { attempt, load } => self.apply_piggybacked_load(attempt, load),
+            Event::Checked { ended, life } => self.apply_crash_check(life, ended),
             Event::Claimed { request, outcome } => self.claimed(request, outcome),
             Event::Closed { attempt, marked } => self.closed(attempt, marked),
             Event::Config(config) => self.adopt(config),
-            Event::Crashed(account) => self.crashed(&account),
-            Event::Departing(life) => self.departing(life),
+            Event::Crashed(account) => self.merge_crashes(&account),
+            Event::Departing(life) => self.apply_peer_leaving(life),
             Event::Demanded { demand, from } => self.demanded(from, &demand),
             Event::Failed { attempt, failure } => self.failed(attempt, failure),
             Event::Finished {
@@ -156,15 +156,15 @@
                 reason,
             } => self.finished(attempt, position, reason),
             Event::Instances(view) => self.see_members(view),
-            Event::Leaving(name) => self.hint_leaving(&name),
-            Event::List { asked, listed } => self.list(asked, listed.as_deref()),
-            Event::Limited { life, rate } => self.limit_told(life, rate),
-            Event::Load { upstream, load } => self.report(upstream, load),
+            Event::Leaving(name) => self.apply_leaving_hint(&name),
+            Event::List { asked, listed } => self.apply_list(asked, listed.as_deref()),
+            Event::Limited { life, rate } => self.apply_peer_limit(life, rate),
+            Event::Load { upstream, load } => self.apply_load_report(upstream, load),
             Event::Noticed {
                 attempt,
                 notice,
                 upstream,
-            } => self.noticed(upstream, attempt, &notice),
+            } => self.apply_notice(upstream, attempt, &notice),
             Event::Opened(attempt) => self.opened(attempt),
             Event::Paced(pace) => self.paced(&pace),
             Event::Passed {
@@ -172,7 +172,7 @@
                 bytes,
                 position,
             } => self.passed(attempt, position, bytes),
-            Event::Probed { upstream, alive } => self.probed(upstream, alive),
+            Event::Probed { upstream, alive } => self.apply_probe_result(upstream, alive),
             Event::Recalled => self.recalled(),
             Event::Replied {
                 attempt,
@@ -221,8 +221,8 @@
             settings,
             sightings: sighting::Sightings::default(),
             stale_until: Time::default(),
-            standings: notice::Standings::default(),
-            suspicion: Suspicion::default(),
+            retained_states: notice::RetainedStates::default(),
+            crash_suspects: CrashSuspects::default(),
             swept: now,
             upstreams: SlotMap::with_key(),
             woken: Time::default(),
@@ -253,7 +253,7 @@
         let current = self.revision().unwrap_or(0);
         if config.revision > current || self.config.is_none() {
             self.config = Some(config);
-            self.settle_addresses();
+            self.resolve_address_conflicts();
             self.submit_early();
         }
         let after = self.revision().unwrap_or(0);
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/crash_suspects.rs
@@ -8,18 +8,18 @@
 
 /// Time for which the answer to the question whether an upstream has ended is waited for, in milliseconds: longer than a
 /// connection is tried for.
-const CHECK_MS: u64 = 400;
+const CHECK_TIMEOUT_MS: u64 = 400;
 
 /// Time for which an answer comes from an upstream before its end tells less of the request, in milliseconds: such requests ended
 /// upstreams 0.06 to 0.11 s behind their first token.
-const RAN_MS: u64 = 500;
+const LONG_RUN_MS: u64 = 500;
 
 /// Time for which a broken connection may still turn out to have been the end of its upstream, in milliseconds: by then the list
 /// shows whether it was born anew.
 const PENDING_MS: u64 = 8_000;
 
 /// Ends of upstreams from which on a request is kept apart from others.
-const APART: usize = 2;
+const ISOLATION_CRASHES: usize = 2;
 
 /// Connections to an upstream that broke, of which it is not known whether it ended.
 #[derive(Clone, Debug)]
@@ -27,9 +27,9 @@
     /// Whether somebody listened at its address behind the last of them: it lives, or was born anew.
     answered: bool,
     /// When the first broke.
-    since: Time,
+    broken_at: Time,
     /// The requests that were sent on them.
-    there: BTreeMap<Print, quarantine::Part>,
+    requests: BTreeMap<Print, quarantine::Part>,
 }
 
 /// A request that is not sent on before it is known whether its last upstream ended.
@@ -43,36 +43,39 @@
 
 /// What an instance believes of requests that end their upstreams.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Suspicion {
+pub(crate) struct CrashSuspects {
     account: Account,
     guilty: BTreeMap<Print, BTreeSet<Life>>,
     held: Vec<Held>,
     pending: HashMap<Life, Pending>,
     /// Ends that this instance saw itself.
-    seen: BTreeSet<Life>,
+    witnessed: BTreeSet<Life>,
 }
 
-impl Suspicion {
+impl CrashSuspects {
     /// Whether this instance saw one of some lives end itself.
-    fn saw(&self, lives: &BTreeSet<Life>) -> bool {
-        lives.iter().any(|life| self.seen.contains(life))
+    fn has_witnessed(&self, lives: &BTreeSet<Life>) -> bool {
+        lives.iter().any(|life| self.witnessed.contains(life))
     }
 
     /// Guilty requests of whose ends this instance saw one itself.
-    fn own_guilty(&self) -> BTreeSet<Print> {
-        let own = self.guilty.iter().filter(|(_, lives)| self.saw(lives));
+    fn witnessed_guilty(&self) -> BTreeSet<Print> {
+        let own = self
+            .guilty
+            .iter()
+            .filter(|(_, lives)| self.has_witnessed(lives));
         own.map(|(print, _)| *print).collect()
     }
 
     /// Whether a request was at any end, or may have been.
-    fn knows(&self, print: Print) -> bool {
-        self.ends(print) > 0
+    fn is_suspect(&self, print: Print) -> bool {
+        self.crash_count(print) > 0
     }
 
     /// Ends at which a request was, those with it that are not certain.
-    fn ends(&self, print: Print) -> usize {
+    fn crash_count(&self, print: Print) -> usize {
         let pending = self.pending.values().filter(|pending| !pending.answered);
-        let pending = pending.filter(|pending| pending.there.contains_key(&print));
+        let pending = pending.filter(|pending| pending.requests.contains_key(&print));
         self.account.lives(print).count() + pending.count()
     }
 
@@ -84,171 +87,175 @@
 
 impl Core {
     /// Whether a request is refused, since it ends the upstreams that run it.
-    pub(crate) fn is_guilty(&self, print: Print) -> bool {
-        self.suspicion.guilty.contains_key(&print)
+    pub(crate) fn is_quarantined(&self, print: Print) -> bool {
+        self.crash_suspects.guilty.contains_key(&print)
     }
 
     /// Whether a request was at an upstream that ended.
-    pub(crate) fn is_suspect(&self, print: Print) -> bool {
-        !self.suspicion.is_idle() && self.suspicion.knows(print)
+    pub(crate) fn is_crash_suspect(&self, print: Print) -> bool {
+        !self.crash_suspects.is_idle() && self.crash_suspects.is_suspect(print)
     }
 
     /// The requests that are refused.
     pub fn quarantined(&self) -> impl Iterator<Item = Print> {
-        self.suspicion.guilty.keys().copied()
+        self.crash_suspects.guilty.keys().copied()
     }
 
     /// The unplanned ends of upstreams that this instance knows.
     pub fn account(&self) -> &Account {
-        &self.suspicion.account
+        &self.crash_suspects.account
     }
 
     /// The connection of an attempt broke: its upstream may have ended. That one which leaves ends says nothing of
     /// what it ran.
-    pub(crate) fn suspect(&mut self, attempt: &Attempt) {
+    pub(crate) fn suspect_crash(&mut self, attempt: &Attempt) {
         let upstream = &self.upstreams[attempt.upstream];
-        if self.settings.quarantine == Guilt::Off || upstream.leaves(self.now) {
+        if self.settings.quarantine == Guilt::Off || upstream.is_leaving(self.now) {
             return;
         }
         let (address, life) = (upstream.address, upstream.life);
         let print = self.requests[attempt.request].print;
-        let ran_ms = attempt.began.map_or(0, |began| self.now.since(began));
-        let part = if ran_ms >= RAN_MS {
+        let running_ms = attempt.began.map_or(0, |began| self.now.since(began));
+        let part = if running_ms >= LONG_RUN_MS {
             quarantine::Part::Ran
         } else {
             quarantine::Part::Fresh
         };
-        if self.suspicion.account.has(life) {
-            self.note_end(life, &[(print, part)].into());
+        if self.crash_suspects.account.has(life) {
+            self.record_crash(life, &[(print, part)].into());
             return;
         }
         let now = self.now;
-        let pending = self.suspicion.pending.entry(life);
+        let pending = self.crash_suspects.pending.entry(life);
         let pending = pending.or_insert_with(|| Pending {
             answered: true,
-            since: now,
-            there: BTreeMap::new(),
+            broken_at: now,
+            requests: BTreeMap::new(),
         });
-        pending.there.insert(print, part);
+        pending.requests.insert(print, part);
         if std::mem::replace(&mut pending.answered, false) {
-            self.decide(effect::Quarantine::Check { address, life });
+            self.push_quarantine_effect(effect::Quarantine::Check { address, life });
         }
     }
 
     /// It is known whether an upstream ended whose connections broke.
-    pub(crate) fn checked(&mut self, life: Life, ended: bool) {
+    pub(crate) fn apply_crash_check(&mut self, life: Life, ended: bool) {
         if ended {
-            self.ended(life);
-        } else if let Some(pending) = self.suspicion.pending.get_mut(&life) {
+            self.confirm_crash(life);
+        } else if let Some(pending) = self.crash_suspects.pending.get_mut(&life) {
             pending.answered = true;
         }
         let of_life = |held: &mut Held| held.life == life;
-        let held: Vec<Held> = self.suspicion.held.extract_if(.., of_life).collect();
+        let held: Vec<Held> = self.crash_suspects.held.extract_if(.., of_life).collect();
         for held in held {
-            self.go_on(held.request, held.reason);
+            self.retry_request(held.request, held.reason);
         }
     }
 
-    /// An upstream has ended without a word; what was sent on connections that broke was there.
-    pub(crate) fn ended(&mut self, life: Life) {
-        if let Some(pending) = self.suspicion.pending.remove(&life) {
-            self.note_end(life, &pending.there);
+    /// An upstream has ended without a word; what was sent on connections that broke was requests.
+    pub(crate) fn confirm_crash(&mut self, life: Life) {
+        if let Some(pending) = self.crash_suspects.pending.remove(&life) {
+            self.record_crash(life, &pending.requests);
         }
     }
 
-    fn note_end(&mut self, life: Life, there: &BTreeMap<Print, quarantine::Part>) {
-        let mut news = Account::default();
-        for (print, part) in there {
-            if self.suspicion.account.add(life, *print, *part, self.now) {
-                news.add(life, *print, *part, self.now);
+    fn record_crash(&mut self, life: Life, requests: &BTreeMap<Print, quarantine::Part>) {
+        let mut new_crashes = Account::default();
+        for (print, part) in requests {
+            if self
+                .crash_suspects
+                .account
+                .add(life, *print, *part, self.now)
+            {
+                new_crashes.add(life, *print, *part, self.now);
             }
         }
-        self.suspicion.seen.insert(life);
-        self.tell_ends(news);
+        self.crash_suspects.witnessed.insert(life);
+        self.publish_crashes(new_crashes);
     }
 
     /// Another instance, or the store, told of ends of upstreams.
-    pub(crate) fn crashed(&mut self, told: &Account) {
+    pub(crate) fn merge_crashes(&mut self, reported: &Account) {
         if self.settings.quarantine == Guilt::Off {
             return;
         }
-        let news = self.suspicion.account.merge(told);
-        if !news.is_empty() {
-            self.judge();
+        let new_crashes = self.crash_suspects.account.merge(reported);
+        if !new_crashes.is_empty() {
+            self.update_quarantine();
         }
     }
 
     /// A request was answered whole: it ends no upstream.
-    pub(crate) fn acquit(&mut self, print: Print) {
-        if !self.is_suspect(print) {
+    pub(crate) fn clear_suspicion(&mut self, print: Print) {
+        if !self.is_crash_suspect(print) {
             return;
         }
-        for pending in self.suspicion.pending.values_mut() {
-            pending.there.remove(&print);
+        for pending in self.crash_suspects.pending.values_mut() {
+            pending.requests.remove(&print);
         }
-        let news = self.suspicion.account.clear(print);
-        self.tell_ends(news);
+        let new_crashes = self.crash_suspects.account.clear(print);
+        self.publish_crashes(new_crashes);
     }
 
     /// Tells other instances what this one saw, and draws the conclusions.
-    fn tell_ends(&mut self, news: Account) {
-        if !news.is_empty() {
-            self.decide(effect::Quarantine::Tell(news));
-            self.judge();
+    fn publish_crashes(&mut self, new_crashes: Account) {
+        if !new_crashes.is_empty() {
+            self.push_quarantine_effect(effect::Quarantine::Tell(new_crashes));
+            self.update_quarantine();
         }
     }
 
-    fn decide(&mut self, effect: effect::Quarantine) {
+    fn push_quarantine_effect(&mut self, effect: effect::Quarantine) {
         self.effects.push(Effect::Quarantine(effect));
     }
 
     /// Finds out who is guilty by all that is known, and gives up on what is.
-    fn judge(&mut self) {
-        let own = self.suspicion.own_guilty();
-        let suspicion = &mut self.suspicion;
+    fn update_quarantine(&mut self) {
+        let own = self.crash_suspects.witnessed_guilty();
+        let suspects = &mut self.crash_suspects;
         let rule = self.settings.quarantine;
-        suspicion.account.trim(rule, self.now);
-        let account = &suspicion.account;
-        suspicion.seen.retain(|life| account.has(*life));
-        let before = std::mem::replace(&mut suspicion.guilty, account.guilty(rule));
-        let found: Vec<Print> = suspicion.guilty.keys().copied().collect();
+        suspects.account.trim(rule, self.now);
+        let account = &suspects.account;
+        suspects.witnessed.retain(|life| account.has(*life));
+        let before = std::mem::replace(&mut suspects.guilty, account.guilty(rule));
+        let found: Vec<Print> = suspects.guilty.keys().copied().collect();
         let found = found
             .into_iter()
             .filter(|print| !before.contains_key(print));
         for print in found.collect::<Vec<Print>>() {
-            self.condemn(print);
+            self.quarantine(print);
         }
-        let freed = |print: &&Print| !self.suspicion.guilty.contains_key(print);
-        let freed: Vec<Print> = before.keys().filter(freed).copied().collect();
-        for print in freed {
+        let released = |print: &&Print| !self.crash_suspects.guilty.contains_key(print);
+        let released: Vec<Print> = before.keys().filter(released).copied().collect();
+        for print in released {
             // Only who kept it removes it: else each of hundreds would write when one lapses.
             let own = own.contains(&print);
-            self.decide(effect::Quarantine::Free { own, print });
+            self.push_quarantine_effect(effect::Quarantine::Free { own, print });
         }
-        let account = self.suspicion.account.clone();
-        self.decide(effect::Quarantine::Keep(account));
+        let account = self.crash_suspects.account.clone();
+        self.push_quarantine_effect(effect::Quarantine::Keep(account));
     }
 
     /// A request is guilty from now on: nothing of it is sent any more, and what an upstream has not yet begun is taken back.
-    fn condemn(&mut self, print: Print) {
+    fn quarantine(&mut self, print: Print) {
         self.count(Counter::Quarantined);
-        let suspicion = &self.suspicion;
-        let own = suspicion.saw(&suspicion.guilty[&print]);
-        let ends = suspicion.account.of(print);
-        self.decide(effect::Quarantine::Refuse { ends, own, print });
-        let tries: Vec<request::Key> = self
+        let suspects = &self.crash_suspects;
+        let own = suspects.has_witnessed(&suspects.guilty[&print]);
+        let ends = suspects.account.of(print);
+        self.push_quarantine_effect(effect::Quarantine::Refuse { ends, own, print });
+        let affected: Vec<request::Key> = self
             .requests
             .iter()
             .filter(|(_, request)| request.print == print)
             .map(|(key, _)| key)
             .collect();
-        for key in tries {
-            self.refuse_guilty(key);
+        for key in affected {
+            self.refuse_quarantined(key);
         }
     }
 
     /// Gives up on a request that ends its upstreams, unless that has been done.
-    pub(crate) fn refuse_guilty(&mut self, key: request::Key) {
+    pub(crate) fn refuse_quarantined(&mut self, key: request::Key) {
         if !self.requests.contains_key(key) {
             return;
         }
@@ -257,7 +264,7 @@
 
     /// Sends a request on whose last upstream was lost, once it is known whether that may be its fault: the answer takes
     /// milliseconds, and is waited for only by a request that it may convict.
-    pub(crate) fn go_on_checked(
+    pub(crate) fn retry_after_crash_check(
         &mut self,
         key: request::Key,
         upstream: upstream::Key,
@@ -269,23 +276,23 @@
         let print = request.print;
         let life = self.upstreams.get(upstream).map(|upstream| upstream.life);
         let pending = life.filter(|life| {
-            let pending = self.suspicion.pending.get(life);
+            let pending = self.crash_suspects.pending.get(life);
             pending.is_some_and(|pending| !pending.answered)
         });
         match pending {
-            Some(life) if self.suspicion.ends(print) >= quarantine::GUILTY => {
-                self.suspicion.held.push(Held {
+            Some(life) if self.crash_suspects.crash_count(print) >= quarantine::GUILTY => {
+                self.crash_suspects.held.push(Held {
                     life,
                     reason,
                     request: key,
-                    until: self.now.after(CHECK_MS),
+                    until: self.now.after(CHECK_TIMEOUT_MS),
                 });
             }
-            _ => self.go_on(key, reason),
+            _ => self.retry_request(key, reason),
         }
     }
 
-    fn go_on(&mut self, key: request::Key, reason: counter::Reason) {
+    fn retry_request(&mut self, key: request::Key, reason: counter::Reason) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
@@ -298,35 +305,37 @@
 
     /// Time passed: what waits for an answer that does not come goes on, connections that broke long ago say nothing more,
     /// and ends lapse.
-    pub(crate) fn watch_suspicion(&mut self) {
+    pub(crate) fn expire_crash_suspects(&mut self) {
         let now = self.now;
-        if self.suspicion.account.lapses(now) {
-            self.judge();
+        if self.crash_suspects.account.lapses(now) {
+            self.update_quarantine();
         }
-        let pending = &mut self.suspicion.pending;
-        pending.retain(|_, pending| now.since(pending.since) < PENDING_MS);
+        let pending = &mut self.crash_suspects.pending;
+        pending.retain(|_, pending| now.since(pending.broken_at) < PENDING_MS);
         let due = |held: &mut Held| held.until <= now;
-        let due: Vec<Held> = self.suspicion.held.extract_if(.., due).collect();
+        let due: Vec<Held> = self.crash_suspects.held.extract_if(.., due).collect();
         for held in due {
-            self.go_on(held.request, held.reason);
+            self.retry_request(held.request, held.reason);
         }
     }
 
     /// Requests of this instance at an upstream that a request had better be sent apart from: one that was at an end from all that
     /// were, so that the next end tells them from each other; any other from those that were at two, so that it is in no
     /// third with them.
-    pub(crate) fn suspects_beside(&self, print: Print, candidate: upstream::Key) -> usize {
-        if self.suspicion.is_idle() {
+    pub(crate) fn suspects_at(&self, print: Print, candidate: upstream::Key) -> usize {
+        if self.crash_suspects.is_idle() {
             return 0;
         }
-        let from = if self.suspicion.knows(print) {
+        let min_crashes = if self.crash_suspects.is_suspect(print) {
             1
         } else {
-            APART
+            ISOLATION_CRASHES
         };
         let attempts = self.upstreams[candidate].attempts.iter();
         let others = attempts.map(|attempt| self.requests[self.attempts[*attempt].request].print);
-        let beside = others.filter(|other| *other != print && self.suspicion.ends(*other) >= from);
-        beside.count()
+        let suspects = others.filter(|other| {
+            *other != print && self.crash_suspects.crash_count(*other) >= min_crashes
+        });
+        suspects.count()
     }
 }
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -515,12 +515,14 @@
     fn slots(&self, pool: &core::Pool, takes_ms: f64) -> f64 {
         let slots = |upstream: &Upstream| {
             let listed = f64::from(upstream.listed_slots);
-            let busy = |part: limit::Part| part.rate().per_second() * takes_ms / 1_000.0;
-            upstream.part.map_or(listed, |part| busy(part).min(listed))
+            let busy = |part: limit::TokenBucket| part.rate().per_second() * takes_ms / 1_000.0;
+            upstream
+                .limit_bucket
+                .map_or(listed, |part| busy(part).min(listed))
         };
         self.upstreams_of(pool)
-            .filter(|upstream| upstream.health == Health::Live && upstream.chosen)
-            .filter(|upstream| upstream.is_open(self.now))
+            .filter(|upstream| upstream.health == Health::Live && upstream.in_subset)
+            .filter(|upstream| upstream.is_available(self.now))
             .map(slots)
             .sum()
     }
--- a/crates/core/src/detector.rs
+++ b/crates/core/src/detector.rs
@@ -7,12 +7,12 @@
 
 /// Running mean and deviation of the gaps between tokens of one upstream, in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Detector {
+pub struct StallDetector {
     deviation: f64,
     mean: f64,
 }
 
-impl Default for Detector {
+impl Default for StallDetector {
     fn default() -> Self {
         Self {
             deviation: 15.0,
@@ -21,11 +21,11 @@
     }
 }
 
-impl Detector {
+impl StallDetector {
     /// Silence in milliseconds after which a stream is suspected.
-    pub fn bound(&self, settings: &Settings) -> u64 {
-        let bound = self.mean * 2.0 + self.deviation * 6.0;
-        (bound as u64).clamp(settings.stall_min_ms, settings.stall_max_ms)
+    pub fn timeout_ms(&self, settings: &Settings) -> u64 {
+        let timeout = self.mean * 2.0 + self.deviation * 6.0;
+        (timeout as u64).clamp(settings.stall_min_ms, settings.stall_max_ms)
     }
 
     /// Takes in one gap in milliseconds.
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -30,7 +30,7 @@
         if request.state != State::Queued {
             return;
         }
-        if self.is_outlasted(request, 0) {
+        if self.is_bound_to_expire(request, 0) {
             self.give_up(key, Kind::Overloaded, Kind::UpstreamFailed);
             return;
         }
@@ -55,11 +55,11 @@
                 return;
             };
             let key = waiting.request;
-            if self.is_guilty(self.requests[key].print) {
-                self.refuse_guilty(key);
+            if self.is_quarantined(self.requests[key].print) {
+                self.refuse_quarantined(key);
                 continue;
             }
-            let Some(upstream) = self.choose(key, waiting.resume) else {
+            let Some(upstream) = self.choose_upstream(key, waiting.resume) else {
                 return;
             };
             if let Some(pool) = self.pools.get_mut(name) {
@@ -134,7 +134,7 @@
         let allowed = request.service.policy == Policy::Latency
             && request.service.repeatable
             && self.settings.continuation
-            && !self.is_suspect(request.print)
+            && !self.is_crash_suspect(request.print)
             && request.attempts.len() == 1
             && request.number < self.settings.attempts_max
             && request.skip <= request.position()
@@ -142,7 +142,7 @@
         if !allowed {
             return;
         }
-        let Some(upstream) = self.choose(key, true) else {
+        let Some(upstream) = self.choose_upstream(key, true) else {
             return;
         };
         self.hedges
@@ -234,10 +234,10 @@
         request.attempts.push(attempt);
         let upstream = &mut self.upstreams[upstream];
         if upstream.attempts.is_empty() {
-            upstream.heard = self.now;
+            upstream.last_heard = self.now;
         }
         upstream.attempts.push(attempt);
-        upstream.change(1, self.now);
+        upstream.adjust_load(1, self.now);
         attempt
     }
 
@@ -253,20 +253,20 @@
             .iter()
             .all(|other| *other == key || !self.attempts[*other].sent);
         let once = request.service.repeatable || (alone && (!request.may_have_run || continues));
-        let (address, leaves) = (upstream.address, upstream.leaves(self.now));
-        let rests = upstream.rests(self.now);
+        let (address, leaves) = (upstream.address, upstream.is_leaving(self.now));
+        let rests = upstream.is_in_backoff(self.now);
         let (number, owner) = (attempt.number, attempt.request);
         let sending = match request.work {
             Work::Relay(_) => self.relaying(key),
             Work::Call { .. } | Work::Generate { .. } => request.sending(number, &self.settings),
         };
-        let guilty = self.is_guilty(request.print);
-        let permitted = self.upstreams[upstream_key].spend(self.now);
+        let guilty = self.is_quarantined(request.print);
+        let permitted = self.upstreams[upstream_key].take_permit(self.now);
         self.check(permitted, Invariant::NoWorkBeyondLimit);
         self.check(!leaves, Invariant::NoWorkWhenLeaving);
         self.check(!rests, Invariant::NoWorkWhenResting);
         if !self.check(!guilty, Invariant::NoQuarantinedWork) {
-            self.refuse_guilty(owner);
+            self.refuse_quarantined(owner);
             return;
         }
         if !self.check(once, Invariant::RunsOnce) {
@@ -310,7 +310,7 @@
             return;
         };
         let upstream = &self.upstreams[self.attempts[attempt].upstream];
-        if upstream.takes_work(self.now) && self.now >= self.stale_until {
+        if upstream.accepts_work(self.now) && self.now >= self.stale_until {
             self.send(attempt);
             return;
         }
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -31,18 +31,18 @@
         match failure {
             Failure::Broken => {
                 self.requests[request].may_have_run = true;
-                self.doubt(attempt.upstream);
+                self.mark_suspected(attempt.upstream);
             }
-            Failure::Leaving | Failure::Replaced => self.leave(attempt.upstream),
-            Failure::NotSent => self.doubt(attempt.upstream),
-            Failure::Refused => self.refused(attempt.upstream),
+            Failure::Leaving | Failure::Replaced => self.mark_leaving(attempt.upstream),
+            Failure::NotSent => self.mark_suspected(attempt.upstream),
+            Failure::Refused => self.mark_full(attempt.upstream),
             Failure::Rejected | Failure::UnknownStream => {}
         }
         self.requests[request].avoid = Some(attempt.upstream);
         if failure == Failure::Broken {
-            self.suspect(&attempt);
+            self.suspect_crash(&attempt);
         }
-        self.go_on_checked(request, attempt.upstream, reason);
+        self.retry_after_crash_check(request, attempt.upstream, reason);
     }
 
     /// Gives up on an attempt that the upstream may still be running.
@@ -88,7 +88,7 @@
         }
         if let Some(upstream) = self.upstreams.get_mut(attempt.upstream) {
             upstream.attempts.retain(|other| *other != key);
-            upstream.change(-1, self.now);
+            upstream.adjust_load(-1, self.now);
         }
         Some(attempt)
     }
@@ -128,7 +128,7 @@
         let retry_after_ms = kind.answer().retry.then(|| match request.work {
             Work::Relay(_) => self.come_back(&request),
             Work::Call { .. } | Work::Generate { .. } => {
-                let rest = self.come_back_rested(&request);
+                let rest = self.backoff_retry_after(&request);
                 rest.unwrap_or_else(|| {
                     self.retry_after(pool, request.service.priority, &request.customer)
                 })
@@ -150,8 +150,8 @@
         if !request.attempts.is_empty() || request.state == State::Claiming {
             return;
         }
-        if self.is_guilty(request.print) {
-            self.refuse_guilty(key);
+        if self.is_quarantined(request.print) {
+            self.refuse_quarantined(key);
             return;
         }
         if request.following && reason == counter::Reason::Caller {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -41,18 +41,18 @@
 pub mod upstream;
 
 mod admission;
+mod crash_suspects;
 mod dispatch;
 mod failure;
+mod monitor;
 mod patience;
-mod place;
+mod placement;
 mod relay;
 mod room;
 mod route;
 mod stream;
-mod suspicion;
 mod usage;
 mod version;
-mod watch;
 mod window;
 
 use {
@@ -65,9 +65,10 @@
     clock::Time,
     config::{Config, Policy, Priority},
     counter::{Counter, Timing},
+    crash_suspects::CrashSuspects,
     cursor::Cursor,
     demand::{Demand, Demands},
-    detector::Detector,
+    detector::StallDetector,
     digest::Digest,
     effect::Effect,
     event::{Event, Failure, Listed, Piece},
@@ -99,8 +100,7 @@
         ops::RangeInclusive,
         sync::Arc,
     },
-    suspicion::Suspicion,
     upstream::{Health, Load, Upstream},
-    usage::{Own, Usage},
+    usage::{OwnUsage, Usage},
     window::Window,
 };
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -43,8 +43,8 @@
 
     /// Whether this instance is among the first `few` for a topic, by rendezvous hashing.
     fn is_among(&self, few: usize, topic: u64) -> bool {
-        let own = (route::rank(topic, self.own), self.own);
-        let before = |other: &&u64| (route::rank(topic, **other), **other) < own;
+        let own = (route::rendezvous_rank(topic, self.own), self.own);
+        let before = |other: &&u64| (route::rendezvous_rank(topic, **other), **other) < own;
         self.others.iter().filter(before).count() < few
     }
 }
@@ -76,12 +76,12 @@
         self.instances = view.count();
         self.members.see(view, self.now);
         let limited = |(key, upstream): (upstream::Key, &Upstream)| {
-            let part = upstream.part.as_ref()?;
+            let part = upstream.limit_bucket.as_ref()?;
             Some((key, part.rate()))
         };
         let limited: Vec<_> = self.upstreams.iter().filter_map(limited).collect();
         for (key, rate) in limited {
-            self.divide(key, rate);
+            self.update_share(key, rate);
         }
     }
 }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/monitor.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Age of a load report that comes along with tokens, in milliseconds.
-const CARRIED_LAG_MS: u64 = 5;
+const PIGGYBACKED_LAG_MS: u64 = 5;
 
 /// Length of a pause after which the list is not trusted, in milliseconds.
 const LIST_STALE_MS: u64 = 2_000;
@@ -12,34 +12,34 @@
 const LIST_WAIT_MS: u64 = 3_000;
 
 /// Time between two looks at deadlines, in milliseconds.
-const SWEEP_MS: u64 = 50;
+const EXPIRY_CHECK_MS: u64 = 50;
 
 /// What an entry of the list stands for.
-struct Place {
+struct ListedUpstream {
     /// The life that was known under the name before, if it is another one.
-    former: Option<upstream::Key>,
+    predecessor: Option<upstream::Key>,
     /// The upstream.
     key: upstream::Key,
 }
 
 impl Core {
     /// Takes in a load report that came along with tokens; the next one need not be asked for.
-    pub(crate) fn carried(&mut self, attempt: attempt::Key, load: Load) {
+    pub(crate) fn apply_piggybacked_load(&mut self, attempt: attempt::Key, load: Load) {
         let Some(attempt) = self.attempts.get(attempt) else {
             return;
         };
-        self.carried_by(attempt.upstream, load);
+        self.apply_upstream_load(attempt.upstream, load);
     }
 
     /// The same, by an upstream.
-    pub(crate) fn carried_by(&mut self, key: upstream::Key, load: Load) {
+    pub(crate) fn apply_upstream_load(&mut self, key: upstream::Key, load: Load) {
         let next = self.now.after(self.settings.load_ms);
-        self.upstreams[key].probe_at = next;
-        self.take_load(key, load, CARRIED_LAG_MS);
+        self.upstreams[key].next_probe = next;
+        self.apply_load(key, load, PIGGYBACKED_LAG_MS);
     }
 
     /// Something about an upstream went wrong: it is suspected and probed at once.
-    pub(crate) fn doubt(&mut self, key: upstream::Key) {
+    pub(crate) fn mark_suspected(&mut self, key: upstream::Key) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
@@ -47,24 +47,24 @@
             return;
         }
         upstream.health = Health::Suspected;
-        upstream.doubted_until = self.now.after(self.settings.probe_ms);
+        upstream.suspected_until = self.now.after(self.settings.probe_ms);
         self.count(Counter::Suspected);
-        self.believe(key, effect::Belief::Doubted);
+        self.log_belief(key, effect::Belief::Doubted);
         if self.settings.probes {
-            self.probe(key);
+            self.send_probe(key);
         }
     }
 
     /// A word that an upstream is leaving, which the platform's list may not say yet.
-    pub(crate) fn hint_leaving(&mut self, name: &str) {
-        if let Some(key) = self.namesake(Life::new(name, 0)) {
-            self.leave(key);
+    pub(crate) fn apply_leaving_hint(&mut self, name: &str) {
+        if let Some(key) = self.upstream_by_name(Life::new(name, 0)) {
+            self.mark_leaving(key);
         }
     }
 
     /// Gives an upstream no new work for a while, whatever the platform's list says, and has others told.
-    pub(crate) fn leave(&mut self, key: upstream::Key) {
-        if self.hint(key) {
+    pub(crate) fn mark_leaving(&mut self, key: upstream::Key) {
+        if self.set_leaving_hint(key) {
             let upstream = &self.upstreams[key];
             self.effects.push(Effect::Leaving {
                 life: upstream.life,
@@ -74,21 +74,21 @@
     }
 
     /// Gives an upstream no new work for a while, whatever the platform's list says; whether that is news.
-    pub(crate) fn hint(&mut self, key: upstream::Key) -> bool {
+    pub(crate) fn set_leaving_hint(&mut self, key: upstream::Key) -> bool {
         let until = self.now.after(self.settings.leaving_hint_ms);
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return false;
         };
-        let news = !upstream.leaves(self.now);
+        let is_new = !upstream.is_leaving(self.now);
         upstream.leaving_until = until;
-        if news {
-            self.believe(key, effect::Belief::Leaving);
+        if is_new {
+            self.log_belief(key, effect::Belief::Leaving);
         }
-        news
+        is_new
     }
 
     /// Takes in the platform's list: new upstreams, those that leave, and those that are gone.
-    pub(crate) fn list(&mut self, asked: Time, listed: Option<&[event::Listed]>) {
+    pub(crate) fn apply_list(&mut self, asked: Time, listed: Option<&[event::Listed]>) {
         if asked >= self.woken {
             self.stale_until = Time::default();
         }
@@ -103,33 +103,34 @@
             self.instances = instances as u32;
         }
         let mut absent: Vec<upstream::Key> = self.upstreams.keys().collect();
-        let mut formers = Vec::new();
+        let mut predecessors = Vec::new();
         let known = self.upstreams.len();
         for entry in listed {
             if entry.pool != core::INSTANCE_POOL {
-                let place = self.listed(entry);
-                formers.extend(place.former);
-                absent.retain(|other| *other != place.key && Some(*other) != place.former);
+                let upstream = self.upsert_listed(entry);
+                predecessors.extend(upstream.predecessor);
+                absent
+                    .retain(|other| *other != upstream.key && Some(*other) != upstream.predecessor);
             }
         }
-        let is_longer = self.upstreams.len() > known;
+        let has_new = self.upstreams.len() > known;
         for key in absent {
             if !self.upstreams[key].leaving || self.upstreams[key].attempts.is_empty() {
-                self.believe(key, effect::Belief::Gone);
+                self.log_belief(key, effect::Belief::Gone);
             }
             self.upstreams[key].leaving = true;
             if self.upstreams[key].attempts.is_empty() {
-                self.forget(key);
+                self.remove_upstream(key);
             }
         }
-        if is_longer {
-            self.settle_addresses();
+        if has_new {
+            self.resolve_address_conflicts();
         }
         // What they ran goes on elsewhere, which only the whole list tells.
-        for former in formers {
-            self.restarted(former);
+        for predecessor in predecessors {
+            self.remove_restarted(predecessor);
         }
-        self.settle_versions();
+        self.update_held();
         self.choose_subsets();
         self.listed = Some(asked);
         self.submit_early();
@@ -137,11 +138,11 @@
     }
 
     /// A probe was answered or failed.
-    pub(crate) fn probed(&mut self, key: upstream::Key, alive: bool) {
+    pub(crate) fn apply_probe_result(&mut self, key: upstream::Key, alive: bool) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
-        let Some(sent) = upstream.probing.take() else {
+        let Some(sent) = upstream.probe_sent.take() else {
             return;
         };
         let wait = if alive {
@@ -149,29 +150,29 @@
         } else {
             self.settings.probe_ms
         };
-        upstream.probe_at = self.now.after(wait);
+        upstream.next_probe = self.now.after(wait);
         if alive {
             upstream.health = Health::Live;
             let pool = upstream.pool.clone();
             self.pump(&pool);
-        } else if upstream.heard <= sent {
-            self.lose(key);
+        } else if upstream.last_heard <= sent {
+            self.mark_lost(key);
         }
     }
 
     /// An upstream refused work: it is believed full until its next report.
-    pub(crate) fn refused(&mut self, key: upstream::Key) {
+    pub(crate) fn mark_full(&mut self, key: upstream::Key) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
-        let missing = i64::from(upstream.slots()) - i64::from(upstream.believed());
-        upstream.change(missing.max(0), self.now);
-        upstream.probe_at = self.now;
+        let missing = i64::from(upstream.slots()) - i64::from(upstream.estimated_load());
+        upstream.adjust_load(missing.max(0), self.now);
+        upstream.next_probe = self.now;
     }
 
     /// Takes in a load report that was asked for.
-    pub(crate) fn report(&mut self, upstream: upstream::Key, load: Load) {
-        self.take_load(upstream, load, self.settings.report_lag_ms);
+    pub(crate) fn apply_load_report(&mut self, upstream: upstream::Key, load: Load) {
+        self.apply_load(upstream, load, self.settings.report_lag_ms);
     }
 
     /// Time passed.
@@ -179,21 +180,21 @@
         let keys: Vec<upstream::Key> = self.upstreams.keys().collect();
         for key in &keys {
             if self.settings.probes {
-                self.watch_probe(*key);
+                self.check_probe(*key);
             } else {
-                self.watch_doubt(*key);
+                self.expire_suspected(*key);
             }
-            self.watch_streams(*key);
+            self.check_streams(*key);
         }
         self.reclaim();
-        self.watch_suspicion();
+        self.expire_crash_suspects();
         self.submit_early();
         self.tell_demands();
-        if self.now.since(self.swept) >= SWEEP_MS {
+        if self.now.since(self.swept) >= EXPIRY_CHECK_MS {
             self.swept = self.now;
-            self.settle_versions();
-            self.question_limits();
-            self.sweep();
+            self.update_held();
+            self.schedule_limit_probes();
+            self.expire_requests();
         }
         self.pump_all();
     }
@@ -209,19 +210,19 @@
             let mut ranked = pool.upstreams.clone();
             ranked.retain(|key| {
                 let upstream = &self.upstreams[*key];
-                upstream.health != Health::Lost && !upstream.leaves(self.now) && !upstream.held
+                upstream.health != Health::Lost && !upstream.is_leaving(self.now) && !upstream.held
             });
             ranked.sort_unstable_by_key(|key| {
-                route::rank(self.identity, self.upstreams[*key].life.id)
+                route::rendezvous_rank(self.identity, self.upstreams[*key].life.id)
             });
             ranked.truncate(count);
             for key in &pool.upstreams {
-                self.upstreams[*key].chosen = ranked.contains(key);
+                self.upstreams[*key].in_subset = ranked.contains(key);
             }
         }
     }
 
-    fn forget(&mut self, key: upstream::Key) {
+    fn remove_upstream(&mut self, key: upstream::Key) {
         let Some(upstream) = self.upstreams.remove(key) else {
             return;
         };
@@ -231,11 +232,11 @@
         if let Some(pool) = self.pools.get_mut(&upstream.pool) {
             pool.upstreams.retain(|other| *other != key);
         }
-        self.standings.keep(&upstream, self.now);
+        self.retained_states.keep(&upstream, self.now);
     }
 
     /// The upstream that is known under the name of a life, which may be another life.
-    fn namesake(&self, life: Life) -> Option<upstream::Key> {
+    fn upstream_by_name(&self, life: Life) -> Option<upstream::Key> {
         self.lives
             .range(life.namesakes())
             .next()
@@ -244,50 +245,53 @@
 
     /// An upstream started again under its name: what ran there is gone, and nothing of it is believed any more. Had a
     /// silent link kept an attempt waiting, its caller would get no answer before its deadline.
-    fn restarted(&mut self, key: upstream::Key) {
-        self.believe(key, effect::Belief::Restarted);
-        self.ended(self.upstreams[key].life);
+    fn remove_restarted(&mut self, key: upstream::Key) {
+        self.log_belief(key, effect::Belief::Restarted);
+        self.confirm_crash(self.upstreams[key].life);
         for attempt in self.upstreams[key].attempts.clone() {
             self.abandon(attempt, counter::Reason::Restarted);
         }
-        self.forget(key);
+        self.remove_upstream(key);
     }
 
     /// The upstream of a list entry, made if it is new. Another birth or another address is another upstream.
-    fn listed(&mut self, entry: &event::Listed) -> Place {
+    fn upsert_listed(&mut self, entry: &event::Listed) -> ListedUpstream {
         let life = entry.life();
-        let known = self.namesake(life);
+        let known = self.upstream_by_name(life);
         if let Some(key) = known
             && self.upstreams[key].life == life
             && self.upstreams[key].address == entry.address
         {
-            if entry.leaving && !self.upstreams[key].leaves(self.now) {
-                self.believe(key, effect::Belief::Leaving);
+            if entry.leaving && !self.upstreams[key].is_leaving(self.now) {
+                self.log_belief(key, effect::Belief::Leaving);
             }
             self.upstreams[key].leaving = entry.leaving;
             self.upstreams[key].listed_slots = entry.slots;
             self.upstreams[key].version = entry.version.as_str().into();
-            return Place { former: None, key };
+            return ListedUpstream {
+                predecessor: None,
+                key,
+            };
         }
-        let former = known.filter(|key| self.upstreams[*key].life != life);
-        if let Some(former) = former {
-            let former = &mut self.upstreams[former];
-            former.health = Health::Lost;
-            self.lives.remove(&former.life);
+        let predecessor = known.filter(|key| self.upstreams[*key].life != life);
+        if let Some(predecessor) = predecessor {
+            let predecessor = &mut self.upstreams[predecessor];
+            predecessor.health = Health::Lost;
+            self.lives.remove(&predecessor.life);
         }
         let name: Arc<str> = entry.name.as_str().into();
         let pool: Arc<str> = entry.pool.as_str().into();
         let key = self.upstreams.insert(Upstream {
             address: entry.address,
             attempts: Vec::new(),
-            balance: 0,
-            chosen: true,
+            unreported: 0,
+            in_subset: true,
             data_centre: entry.data_centre.as_str().into(),
-            detector: Detector::default(),
-            doubted_until: Time::default(),
+            detector: StallDetector::default(),
+            suspected_until: Time::default(),
             full_until: Time::default(),
             health: Health::Live,
-            heard: self.now,
+            last_heard: self.now,
             held: false,
             leaving: entry.leaving,
             leaving_until: Time::default(),
@@ -295,91 +299,91 @@
             listed_slots: entry.slots,
             load: Load::default(),
             name: name.clone(),
-            part: None,
+            limit_bucket: None,
             pool: pool.clone(),
-            probe_at: self.now,
-            probed: Time::default(),
-            probing: None,
-            recent: VecDeque::new(),
-            since: entry.since,
-            standing: self.standings.take(life, entry.address),
+            next_probe: self.now,
+            last_probe: Time::default(),
+            probe_sent: None,
+            recent_changes: VecDeque::new(),
+            registered_at: entry.since,
+            declared: self.retained_states.take(life, entry.address),
             takes_ms: 0.0,
-            trouble: upstream::Trouble::default(),
+            failure_score: upstream::FailureScore::default(),
             version: entry.version.as_str().into(),
         });
         self.sightings.resolve(life, key, self.now);
         self.lives.insert(life, key);
         self.pools.entry(pool).or_default().upstreams.push(key);
-        self.believe(key, effect::Belief::New);
-        if let Some(rate) = self.upstreams[key].standing.limit {
-            self.believe_limit(key, rate);
+        self.log_belief(key, effect::Belief::New);
+        if let Some(rate) = self.upstreams[key].declared.limit {
+            self.set_limit(key, rate);
         }
-        Place { former, key }
+        ListedUpstream { predecessor, key }
     }
 
     /// Of upstreams at one address only the one that was entered last is there. An entry for a service that the
     /// configuration in force does not name takes nobody's place: it is another writer's, or its configuration comes
     /// yet, and then this is looked at again.
-    pub(crate) fn settle_addresses(&mut self) {
+    pub(crate) fn resolve_address_conflicts(&mut self) {
         let Some(config) = &self.config else {
             return;
         };
         let pools = config.pools();
         let mut last: HashMap<SocketAddr, Position> = HashMap::new();
-        let served = |upstream: &&Upstream| pools.contains(&*upstream.pool);
-        for upstream in self.upstreams.values().filter(served) {
+        let is_served = |upstream: &&Upstream| pools.contains(&*upstream.pool);
+        for upstream in self.upstreams.values().filter(is_served) {
             let since = last.entry(upstream.address).or_default();
-            *since = upstream.since.max(*since);
+            *since = upstream.registered_at.max(*since);
         }
-        let earlier = |(_, upstream): &(upstream::Key, &Upstream)| {
+        let is_replaced = |(_, upstream): &(upstream::Key, &Upstream)| {
             let since = last.get(&upstream.address);
-            since.is_some_and(|since| upstream.since < *since)
+            since.is_some_and(|since| upstream.registered_at < *since)
         };
-        let earlier: Vec<upstream::Key> = self
+        let replaced: Vec<upstream::Key> = self
             .upstreams
             .iter()
-            .filter(earlier)
+            .filter(is_replaced)
             .map(|(key, _)| key)
             .collect();
-        for key in earlier {
-            self.replaced(key);
+        for key in replaced {
+            self.mark_replaced(key);
         }
     }
 
     /// Another upstream has the address of this one.
-    pub(crate) fn replaced(&mut self, key: upstream::Key) {
+    pub(crate) fn mark_replaced(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         if upstream.health == Health::Lost {
             return;
         }
         upstream.health = Health::Lost;
-        upstream.trouble.add(self.now);
+        upstream.failure_score.record(self.now);
         let life = upstream.life;
-        self.believe(key, effect::Belief::Replaced);
-        self.ended(life);
+        self.log_belief(key, effect::Belief::Replaced);
+        self.confirm_crash(life);
     }
 
     /// Gives up on an upstream and on everything that it runs.
-    fn lose(&mut self, key: upstream::Key) {
+    fn mark_lost(&mut self, key: upstream::Key) {
         if self.upstreams[key].health == Health::Lost && self.upstreams[key].attempts.is_empty() {
             return;
         }
         self.upstreams[key].health = Health::Lost;
         self.count(Counter::UpstreamLost);
-        self.believe(key, effect::Belief::Lost);
+        self.log_belief(key, effect::Belief::Lost);
         self.choose_subsets();
         for attempt in self.upstreams[key].attempts.clone() {
             self.abandon(attempt, counter::Reason::Probe);
         }
     }
 
-    fn probe(&mut self, key: upstream::Key) {
+    fn send_probe(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
-        if upstream.probing.is_some() {
+        if upstream.probe_sent.is_some() {
             return;
         }
-        upstream.probed = self.now;
-        upstream.probing = Some(self.now);
+        upstream.last_probe = self.now;
+        upstream.probe_sent = Some(self.now);
         let address = upstream.address;
         self.effects.push(Effect::Probe {
             address,
@@ -400,9 +404,9 @@
     }
 
     /// Ends requests whose time is over.
-    fn sweep(&mut self) {
+    fn expire_requests(&mut self) {
         let now = self.now;
-        let over: Vec<request::Key> = self
+        let expired: Vec<request::Key> = self
             .requests
             .iter()
             .filter(|(_, request)| {
@@ -411,7 +415,7 @@
             })
             .map(|(key, _)| key)
             .collect();
-        for key in over {
+        for key in expired {
             // A relayed request is refused long before its deadline, while coming back can help.
             let request = &self.requests[key];
             let unsent = match request.work {
@@ -426,30 +430,30 @@
     /// This instance was paused: what it did not hear in the meantime says nothing of others. After
     /// a long pause its list may name upstreams that have left since; it sends nothing until it has
     /// read the list again, or that fails for a while.
-    pub(crate) fn wake(&mut self, gap: u64) {
+    pub(crate) fn resume_after_pause(&mut self, gap_ms: u64) {
         self.count(Counter::Paused);
         self.woken = self.now;
-        if gap > LIST_STALE_MS {
+        if gap_ms > LIST_STALE_MS {
             self.stale_until = self.now.after(LIST_WAIT_MS);
         }
         for attempt in self.attempts.values_mut() {
             attempt.last = self.now;
         }
         for upstream in self.upstreams.values_mut() {
-            upstream.heard = self.now;
-            upstream.probing = None;
-            upstream.probe_at = self.now;
+            upstream.last_heard = self.now;
+            upstream.probe_sent = None;
+            upstream.next_probe = self.now;
         }
     }
 
-    /// Takes in a load report whose content is `lag` milliseconds old.
-    fn take_load(&mut self, key: upstream::Key, load: Load, lag: u64) {
+    /// Takes in a load report whose content is `lag_ms` milliseconds old.
+    fn apply_load(&mut self, key: upstream::Key, load: Load, lag_ms: u64) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
-        upstream.report(load, self.now, lag);
+        upstream.apply_load_report(load, self.now, lag_ms);
         if load.leaving {
-            self.leave(key);
+            self.mark_leaving(key);
             return;
         }
         let pool = upstream.pool.clone();
@@ -457,49 +461,50 @@
     }
 
     /// A doubted upstream that is not probed is tried again after a while.
-    fn watch_doubt(&mut self, key: upstream::Key) {
+    fn expire_suspected(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
-        if upstream.health == Health::Suspected && self.now >= upstream.doubted_until {
+        if upstream.health == Health::Suspected && self.now >= upstream.suspected_until {
             upstream.health = Health::Live;
-            self.believe(key, effect::Belief::Trusted);
+            self.log_belief(key, effect::Belief::Trusted);
         }
     }
 
     /// Logs what is believed of an upstream from now on.
-    pub(crate) fn believe(&mut self, key: upstream::Key, belief: effect::Belief) {
+    pub(crate) fn log_belief(&mut self, key: upstream::Key, belief: effect::Belief) {
         let upstream = &self.upstreams[key];
         self.effects.push(Effect::Believe {
             belief,
             born: upstream.life.born,
-            silent_ms: self.now.since(upstream.heard),
+            silent_ms: self.now.since(upstream.last_heard),
             upstream: upstream.name.clone(),
         });
     }
 
-    fn watch_probe(&mut self, key: upstream::Key) {
+    fn check_probe(&mut self, key: upstream::Key) {
         let upstream = &self.upstreams[key];
-        if !upstream.chosen && upstream.attempts.is_empty() {
+        if !upstream.in_subset && upstream.attempts.is_empty() {
             return;
         }
-        match upstream.probing {
+        match upstream.probe_sent {
             Some(sent) if self.now.since(sent) >= self.settings.probe_timeout_ms => {
-                self.probed(key, false);
+                self.apply_probe_result(key, false);
             }
-            None if self.now >= upstream.probe_at => self.probe(key),
-            None if self.owes(key) => self.probe(key),
+            None if self.now >= upstream.next_probe => self.send_probe(key),
+            None if self.is_overdue(key) => self.send_probe(key),
             _ => {}
         }
     }
 
     /// Whether an upstream has been silent for `probe_ms` although it has work of this instance.
-    fn owes(&self, key: upstream::Key) -> bool {
+    fn is_overdue(&self, key: upstream::Key) -> bool {
         let upstream = &self.upstreams[key];
-        let silent = self.now.since(upstream.heard.max(upstream.probed)) >= self.settings.probe_ms;
+        let silent =
+            self.now.since(upstream.last_heard.max(upstream.last_probe)) >= self.settings.probe_ms;
         !upstream.attempts.is_empty() && silent
     }
 
     /// Looks for streams of an upstream that are silent too long.
-    fn watch_streams(&mut self, key: upstream::Key) {
+    fn check_streams(&mut self, key: upstream::Key) {
         let upstream = &self.upstreams[key];
         if upstream.attempts.is_empty() {
             return;
@@ -508,24 +513,24 @@
             self.watch_relays(key);
             return;
         }
-        let bound = upstream.detector.bound(&self.settings);
+        let timeout_ms = upstream.detector.timeout_ms(&self.settings);
         let streaming = |attempt: &attempt::Key| self.attempts[*attempt].started;
         let silent = upstream.attempts.iter().any(streaming);
-        if silent && self.now.since(upstream.heard) > bound {
-            self.doubt(key);
+        if silent && self.now.since(upstream.last_heard) > timeout_ms {
+            self.mark_suspected(key);
         }
         let suspected = self.upstreams[key].health != Health::Live;
         for attempt in self.upstreams[key].attempts.clone() {
-            self.watch_stream(attempt, bound, suspected);
+            self.check_stream(attempt, timeout_ms, suspected);
         }
     }
 
-    fn watch_stream(&mut self, key: attempt::Key, bound: u64, upstream_suspected: bool) {
+    fn check_stream(&mut self, key: attempt::Key, timeout_ms: u64, upstream_suspected: bool) {
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
         let silence = self.now.since(attempt.last);
-        if !attempt.sent || silence <= bound || !(attempt.started || upstream_suspected) {
+        if !attempt.sent || silence <= timeout_ms || !(attempt.started || upstream_suspected) {
             return;
         }
         let request = attempt.request;
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -23,7 +23,9 @@
         let owner = attempt.request;
         self.called(&attempt, true);
         if verdict == event::Verdict::Fault {
-            self.upstreams[attempt.upstream].trouble.add(self.now);
+            self.upstreams[attempt.upstream]
+                .failure_score
+                .record(self.now);
             let request = &mut self.requests[owner];
             request.may_have_run = true;
             request.avoid = Some(attempt.upstream);
@@ -68,8 +70,8 @@
         if !believed && self.may_go_on(owner) {
             self.keep_copy(&attempt);
             self.note_lost(&attempt, counter::Reason::Unmarked);
-            self.suspect(&attempt);
-            self.go_on_checked(owner, attempt.upstream, counter::Reason::Unmarked);
+            self.suspect_crash(&attempt);
+            self.retry_after_crash_check(owner, attempt.upstream, counter::Reason::Unmarked);
             return;
         }
         self.complete(attempt.request, attempt.upstream, Effect::Close);
@@ -82,7 +84,7 @@
             return;
         };
         let owner = attempt.request;
-        self.upstreams[attempt.upstream].hear(self.now);
+        self.upstreams[attempt.upstream].record_activity(self.now);
         let request = &mut self.requests[owner];
         if !request.passage.opened {
             request.passage.opened = true;
@@ -231,7 +233,7 @@
         let (owner, upstream) = (attempt.request, attempt.upstream);
         let copy = self.requests[owner].passage.copy.take();
         let own = self.own_usage();
-        let backup = self.backup(owner, upstream, &own);
+        let backup = self.choose_backup(owner, upstream, &own);
         let ahead_tokens = self.usage(&own, upstream).reading_tokens;
         let request = &self.requests[owner];
         if let Some(pool) = self.pools.get_mut(request.service.pool()) {
@@ -258,7 +260,7 @@
                 counter::Reason::Broken
             }
             Failure::Leaving => {
-                self.leave(upstream);
+                self.mark_leaving(upstream);
                 counter::Reason::Leaving
             }
             Failure::NotSent => {
@@ -266,10 +268,10 @@
                 counter::Reason::NotSent
             }
             Failure::Refused | Failure::Rejected => {
-                self.upstreams[upstream].heard = self.now;
+                self.upstreams[upstream].last_heard = self.now;
                 if attempt.copy.is_none() {
                     let upstream = &mut self.upstreams[upstream];
-                    upstream.trouble.add(self.now);
+                    upstream.failure_score.record(self.now);
                     upstream.full_until = self.now.after(FULL_MS);
                 }
                 counter::Reason::Refused
@@ -287,17 +289,17 @@
         }
         // What follows from an end may be that this request is given up.
         match failure {
-            Failure::Broken => self.suspect(attempt),
-            Failure::Replaced => self.replaced(upstream),
+            Failure::Broken => self.suspect_crash(attempt),
+            Failure::Replaced => self.mark_replaced(upstream),
             _ => {}
         }
-        self.go_on_checked(owner, upstream, reason);
+        self.retry_after_crash_check(owner, upstream, reason);
     }
 
     /// Sends a relayed request on after its last attempt is over, if that is allowed.
     pub(crate) fn relay_again(&mut self, key: request::Key, reason: counter::Reason) {
-        if self.is_guilty(self.requests[key].print) {
-            self.refuse_guilty(key);
+        if self.is_quarantined(self.requests[key].print) {
+            self.refuse_quarantined(key);
             return;
         }
         if !self.may_go_on(key) {
@@ -363,7 +365,7 @@
     /// Looks for relayed requests of an upstream that is silent too long. When one stream falls
     /// silent and nothing else comes from the upstream either, all its streams have lost it.
     pub(crate) fn watch_relays(&mut self, key: upstream::Key) {
-        let silent = self.now.since(self.upstreams[key].heard) > self.settings.relay_stall_ms;
+        let silent = self.now.since(self.upstreams[key].last_heard) > self.settings.relay_stall_ms;
         for attempt_key in self.upstreams[key].attempts.clone() {
             let Some(attempt) = self.attempts.get(attempt_key) else {
                 continue;
@@ -386,7 +388,7 @@
                 if silent {
                     self.blame(key);
                 } else {
-                    self.upstreams[key].trouble.add(self.now);
+                    self.upstreams[key].failure_score.record(self.now);
                 }
                 self.abandon(attempt_key, counter::Reason::Stall);
             }
@@ -413,15 +415,15 @@
     /// An upstream was lost: it is doubted here, and other instances are told.
     fn blame(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
-        upstream.trouble.add(self.now);
+        upstream.failure_score.record(self.now);
         self.effects.push(Effect::Blame(upstream.life));
-        self.doubt(key);
+        self.mark_suspected(key);
     }
 
     /// Another instance lost an upstream. That may be its own link, so it is only one failure.
     pub(crate) fn blamed(&mut self, life: Life) {
         if let Some(key) = self.lives.get(&life) {
-            self.upstreams[*key].trouble.add(self.now);
+            self.upstreams[*key].failure_score.record(self.now);
         }
     }
 
@@ -472,13 +474,13 @@
         last: fn(request::Caller) -> Effect,
     ) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.hear(self.now);
+            upstream.record_activity(self.now);
         }
         let Some(request) = self.remove(key) else {
             return;
         };
         self.count(Counter::Answered);
-        self.acquit(request.print);
+        self.clear_suspicion(request.print);
         if !request.passage.opened {
             let wait = self.now.since(request.asked);
             self.effects.push(Effect::Timed(Timing::Answer, wait));
--- a/crates/core/src/room.rs
+++ b/crates/core/src/room.rs
@@ -57,7 +57,7 @@
         &self,
         request: &Request,
         mut candidates: Vec<upstream::Key>,
-        own: &Own,
+        own: &OwnUsage,
     ) -> Vec<upstream::Key> {
         let Some(need) = Need::of(request).filter(|_| request.position() == 0) else {
             return candidates;
@@ -118,13 +118,13 @@
         &self,
         request: &Request,
         mut candidates: Vec<upstream::Key>,
-        own: &Own,
+        own: &OwnUsage,
     ) -> Vec<upstream::Key> {
         let Some(need) = Need::of(request) else {
             return candidates;
         };
         let room = self.settings.room;
-        let placeable = self.placeable(request);
+        let placeable = self.relay_candidates(request);
         let used: u32 = placeable
             .iter()
             .map(|key| self.usage(own, *key).tokens)
@@ -146,7 +146,7 @@
 
     /// Whether no upstream has room for a request.
     pub(crate) fn lacks_room(&self, request: &Request) -> bool {
-        let placeable = self.placeable(request);
+        let placeable = self.relay_candidates(request);
         self.with_room(request, placeable, &self.own_usage())
             .is_empty()
     }
@@ -197,7 +197,7 @@
             return Ok(());
         }
         let waiting = self.waiting(request.service.pool());
-        let placeable = self.placeable(request);
+        let placeable = self.relay_candidates(request);
         if placeable.is_empty() || (waiting == 0 && !self.lacks_room(request)) {
             return Ok(());
         }
@@ -276,7 +276,7 @@
         {
             return pool.gauge.wait(streams, self.now);
         }
-        let engines = self.placeable(request).len().max(1) as u64;
+        let engines = self.relay_candidates(request).len().max(1) as u64;
         self.reading_ms(request) * streams as u64 / engines
     }
 
@@ -285,7 +285,7 @@
     /// time wanted, if room is likely then; else when the shortage is likely to be over. One that has
     /// lasted for some time is likely to last as long again.
     pub(crate) fn come_back(&mut self, request: &Request) -> u64 {
-        if let Some(rest) = self.come_back_rested(request) {
+        if let Some(rest) = self.backoff_retry_after(request) {
             return rest;
         }
         let pool = self.pools.get(request.service.pool());
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -3,19 +3,23 @@
 use super::*;
 
 /// Load over its slots up to which an upstream takes resumed work when no other has room.
-const RESUME_OVERLOAD: f64 = 1.25;
+const MAX_RESUME_UTILIZATION: f64 = 1.25;
 
 /// Load over its slots beyond which an upstream is not chosen for its cache alone.
-const PREFIX_LOAD: f64 = 1.0;
+const MAX_PREFIX_UTILIZATION: f64 = 1.0;
 
 /// Upstreams tried for their cache before others are.
 const PREFIX_UPSTREAMS: usize = 2;
 
 impl Core {
     /// The upstream for a request; `None` if it must wait.
-    pub(crate) fn choose(&mut self, key: request::Key, resume: bool) -> Option<upstream::Key> {
+    pub(crate) fn choose_upstream(
+        &mut self,
+        key: request::Key,
+        resume: bool,
+    ) -> Option<upstream::Key> {
         if self.requests[key].work.relay().is_some() {
-            return self.place(key);
+            return self.choose_relay_upstream(key);
         }
         if self.settings.routing == Routing::Prefix
             && let Some(upstream) = self.by_prefix(key)
@@ -32,30 +36,30 @@
         }
         match self.settings.routing {
             Routing::Headroom => self.by_headroom(&candidates),
-            Routing::LeastReported => self.least_reported(&candidates),
-            Routing::Random => Some(self.any(&candidates)),
+            Routing::LeastReported => self.least_reported_load(&candidates),
+            Routing::Random => Some(self.pick_random(&candidates)),
             Routing::RoundRobin => {
                 self.rotation += 1;
                 Some(candidates[self.rotation % candidates.len()])
             }
-            Routing::Prefix | Routing::TwoChoices => Some(self.of_two(&candidates)),
+            Routing::Prefix | Routing::TwoChoices => Some(self.less_loaded_of_two(&candidates)),
         }
     }
 
-    fn any(&mut self, keys: &[upstream::Key]) -> upstream::Key {
+    fn pick_random(&mut self, keys: &[upstream::Key]) -> upstream::Key {
         keys[self.rng.random_range(0..keys.len())]
     }
 
-    fn below(&self, keys: &[upstream::Key], limit: f64) -> Vec<upstream::Key> {
+    fn below_utilization(&self, keys: &[upstream::Key], limit: f64) -> Vec<upstream::Key> {
         keys.iter()
             .copied()
-            .filter(|key| self.filled(*key) < limit)
+            .filter(|key| self.utilization(*key) < limit)
             .collect()
     }
 
     /// At random, by the share of slots believed free.
     fn by_headroom(&mut self, keys: &[upstream::Key]) -> Option<upstream::Key> {
-        let room = |key: &upstream::Key| (1.0 - self.filled(*key)).max(f64::EPSILON);
+        let room = |key: &upstream::Key| (1.0 - self.utilization(*key)).max(f64::EPSILON);
         let total: f64 = keys.iter().map(room).sum();
         let rooms: Vec<f64> = keys.iter().map(room).collect();
         let mut point = self.rng.random_range(0.0..total);
@@ -75,11 +79,11 @@
             return None;
         };
         let mut ranked = self.usable(key);
-        ranked.sort_unstable_by_key(|key| rank(prefix, self.upstreams[*key].life.id));
+        ranked.sort_unstable_by_key(|key| rendezvous_rank(prefix, self.upstreams[*key].life.id));
         ranked
             .into_iter()
             .take(PREFIX_UPSTREAMS)
-            .find(|key| self.filled(*key) < PREFIX_LOAD)
+            .find(|key| self.utilization(*key) < MAX_PREFIX_UTILIZATION)
     }
 
     /// Upstreams that may be sent this request: usable, and with room if the way knows room.
@@ -93,20 +97,20 @@
         } else {
             1.0 - self.settings.resume_reserve
         };
-        let free = self.below(&usable, limit);
+        let free = self.below_utilization(&usable, limit);
         if free.is_empty() && resume {
-            return self.below(&usable, RESUME_OVERLOAD);
+            return self.below_utilization(&usable, MAX_RESUME_UTILIZATION);
         }
         free
     }
 
     /// Work believed to be at an upstream, over its slots.
-    fn filled(&self, key: upstream::Key) -> f64 {
+    fn utilization(&self, key: upstream::Key) -> f64 {
         let upstream = &self.upstreams[key];
-        f64::from(upstream.believed()) / f64::from(upstream.slots())
+        f64::from(upstream.estimated_load()) / f64::from(upstream.slots())
     }
 
-    fn least_reported(&self, keys: &[upstream::Key]) -> Option<upstream::Key> {
+    fn least_reported_load(&self, keys: &[upstream::Key]) -> Option<upstream::Key> {
         let reported = |key: &upstream::Key| {
             let upstream = &self.upstreams[*key];
             (upstream.load.running + upstream.load.waiting) * 1_000 / upstream.slots()
@@ -115,10 +119,10 @@
     }
 
     /// Of two taken at random, the one believed to have less work.
-    fn of_two(&mut self, keys: &[upstream::Key]) -> upstream::Key {
-        let first = self.any(keys);
-        let second = self.any(keys);
-        if self.filled(second) < self.filled(first) {
+    fn less_loaded_of_two(&mut self, keys: &[upstream::Key]) -> upstream::Key {
+        let first = self.pick_random(keys);
+        let second = self.pick_random(keys);
+        if self.utilization(second) < self.utilization(first) {
             second
         } else {
             first
@@ -134,21 +138,21 @@
         let Some(pool) = self.pools.get(request.service.pool()) else {
             return Vec::new();
         };
-        let tried = |key: &upstream::Key| {
+        let has_attempt = |key: &upstream::Key| {
             let mut attempts = request.attempts.iter();
             attempts.any(|attempt| self.attempts[*attempt].upstream == *key)
         };
         pool.upstreams
             .iter()
             .copied()
-            .filter(|key| self.upstreams[*key].takes_work(self.now) && !tried(key))
+            .filter(|key| self.upstreams[*key].accepts_work(self.now) && !has_attempt(key))
             .collect()
     }
 }
 
 /// Rank of an upstream for a prompt's start or an instance, by rendezvous hashing; the lowest is
 /// first.
-pub(crate) fn rank(chooser: u64, upstream: u64) -> u64 {
-    let mixed = (chooser ^ upstream.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
+pub(crate) fn rendezvous_rank(chooser: u64, upstream: u64) -> u64 {
+    let hash = (chooser ^ upstream.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -4,7 +4,7 @@
 
 /// Time after which a sighting that was not renewed is forgotten, in milliseconds; longer than a
 /// stream runs and its caller takes to come back.
-const KEPT_MS: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 
 /// Time after which a stream that was not told of again no longer counts as running, in
 /// milliseconds: a long answer of a busy engine. The instance that told may be gone.
@@ -19,10 +19,10 @@
 const WAITING_MS: u64 = 5_000;
 
 /// Sightings kept, at most; beyond it the older half of their time goes.
-const KEPT: usize = 20_000;
+const MAX_ENTRIES: usize = 20_000;
 
 /// Upstreams by their lives.
-pub(crate) type Lives = BTreeMap<Life, upstream::Key>;
+pub(crate) type UpstreamsByIncarnation = BTreeMap<Life, upstream::Key>;
 
 /// Where a stream stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -60,15 +60,15 @@
 
 /// One stream that was told of.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Entry {
     at: Time,
     /// Upstream that keeps a copy of its memory, if it is known.
     backup: Option<upstream::Key>,
     /// When it holds something else.
-    due: Time,
-    holds: Holds,
+    expires_at: Time,
+    reservation: Reservation,
     /// Whether this instance relays it itself.
-    own: bool,
+    is_own: bool,
     /// Time after which its prompt counts as read, in milliseconds.
     reading_ms: u64,
     sighting: Sighting,
@@ -78,12 +78,12 @@
 
 /// What a stream of another instance is believed to hold.
 #[derive(Clone, Copy, Debug)]
-enum Holds {
+enum Reservation {
     Nothing,
     /// Memory and time of its upstream, and memory of the one that keeps its copy.
-    Room(Usage),
+    Resources(Usage),
     /// A place among those that wait for room in its pool.
-    Turn,
+    QueueSlot,
 }
 
 /// Streams by the identity of their prompt, and what they hold together. Only what changes is reckoned anew,
@@ -92,27 +92,27 @@
 pub(crate) struct Sightings {
     /// When streams hold something else, by their prompts.
     due: BTreeSet<(Time, u64)>,
-    seen: HashMap<u64, Seen>,
+    entries: HashMap<u64, Entry>,
     /// What streams of other instances hold of each upstream.
     usages: SecondaryMap<upstream::Key, Usage>,
     /// Streams of other instances that wait for room in each pool, in the order in which they were told of.
     waiting: HashMap<String, BTreeSet<(Time, u64)>>,
 }
 
-impl Seen {
+impl Entry {
     /// What it holds now, and when that may change.
-    fn holds(&self, now: Time) -> (Holds, Time) {
+    fn reservation_at(&self, now: Time) -> (Reservation, Time) {
         let age = now.since(self.at);
         let tokens = self.sighting.tokens;
-        let room = |reading| Holds::Room(Usage::new(reading, tokens));
-        let (holds, until) = match self.sighting.stage {
-            _ if self.own => (Holds::Nothing, KEPT_MS),
+        let room = |reading| Reservation::Resources(Usage::new(reading, tokens));
+        let (reservation, until) = match self.sighting.stage {
+            _ if self.is_own => (Reservation::Nothing, RETENTION_MS),
             Stage::Started if age < self.reading_ms => (room(true), self.reading_ms),
             Stage::Started | Stage::Streaming if age < RUNNING_MS => (room(false), RUNNING_MS),
-            Stage::Waiting if age < WAITING_MS => (Holds::Turn, WAITING_MS),
-            _ => (Holds::Nothing, KEPT_MS),
+            Stage::Waiting if age < WAITING_MS => (Reservation::QueueSlot, WAITING_MS),
+            _ => (Reservation::Nothing, RETENTION_MS),
         };
-        (holds, self.at.after(until))
+        (reservation, self.at.after(until))
     }
 }
 
@@ -122,40 +122,40 @@
     pub fn add(
         &mut self,
         sighting: Sighting,
-        own: bool,
+        is_own: bool,
         reading_ms: u64,
-        lives: &Lives,
+        lives: &UpstreamsByIncarnation,
         now: Time,
     ) {
         match sighting.stage {
-            Stage::Ended => self.forget(sighting.prompt),
+            Stage::Ended => self.remove(sighting.prompt),
             Stage::Left => {
-                if let Some(seen) = self.seen.get_mut(&sighting.prompt)
-                    && seen.sighting.run == sighting.run
+                if let Some(entry) = self.entries.get_mut(&sighting.prompt)
+                    && entry.sighting.run == sighting.run
                 {
-                    seen.sighting.stage = Stage::Left;
-                    self.settle(sighting.prompt, now);
+                    entry.sighting.stage = Stage::Left;
+                    self.update(sighting.prompt, now);
                 }
             }
             Stage::Started | Stage::Streaming | Stage::Waiting => {
-                if self.seen.len() >= KEPT {
-                    self.forget_older(now);
+                if self.entries.len() >= MAX_ENTRIES {
+                    self.remove_older(now);
                 }
                 let prompt = sighting.prompt;
                 let find = |life: Option<Life>| lives.get(&life?).copied();
-                self.forget(prompt);
-                let seen = Seen {
+                self.remove(prompt);
+                let entry = Entry {
                     at: now,
                     backup: find(sighting.backup),
-                    due: now,
-                    holds: Holds::Nothing,
-                    own,
+                    expires_at: now,
+                    reservation: Reservation::Nothing,
+                    is_own,
                     reading_ms: reading_ms.min(RUNNING_MS),
                     upstream: find(sighting.upstream),
                     sighting,
                 };
-                self.seen.insert(prompt, seen);
-                self.settle(prompt, now);
+                self.entries.insert(prompt, entry);
+                self.update(prompt, now);
             }
         }
     }
@@ -165,12 +165,12 @@
         while let Some((at, prompt)) = self.due.first().copied()
             && at <= now
         {
-            let seen = self.seen.get(&prompt);
-            if seen.is_none_or(|seen| now.since(seen.at) >= KEPT_MS) {
-                self.forget(prompt);
+            let entry = self.entries.get(&prompt);
+            if entry.is_none_or(|entry| now.since(entry.at) >= RETENTION_MS) {
+                self.remove(prompt);
                 self.due.remove(&(at, prompt));
             } else {
-                self.settle(prompt, now);
+                self.update(prompt, now);
             }
         }
     }
@@ -178,28 +178,28 @@
     /// An upstream is known now of which streams may have been told before.
     pub fn resolve(&mut self, life: Life, key: upstream::Key, now: Time) {
         let life = Some(life);
-        let named: Vec<u64> = self
-            .seen
+        let affected: Vec<u64> = self
+            .entries
             .iter()
-            .filter(|(_, seen)| seen.sighting.upstream == life || seen.sighting.backup == life)
+            .filter(|(_, entry)| entry.sighting.upstream == life || entry.sighting.backup == life)
             .map(|(prompt, _)| *prompt)
             .collect();
-        for prompt in named {
+        for prompt in affected {
             self.release(prompt);
-            if let Some(seen) = self.seen.get_mut(&prompt) {
-                if seen.sighting.upstream == life {
-                    seen.upstream = Some(key);
+            if let Some(entry) = self.entries.get_mut(&prompt) {
+                if entry.sighting.upstream == life {
+                    entry.upstream = Some(key);
                 } else {
-                    seen.backup = Some(key);
+                    entry.backup = Some(key);
                 }
             }
-            self.settle(prompt, now);
+            self.update(prompt, now);
         }
     }
 
     /// The last stream of a prompt.
     pub fn get(&self, prompt: u64) -> Option<&Sighting> {
-        self.seen.get(&prompt).map(|seen| &seen.sighting)
+        self.entries.get(&prompt).map(|entry| &entry.sighting)
     }
 
     /// What streams of other instances are believed to use of an upstream.
@@ -214,73 +214,73 @@
     }
 
     /// Reckons anew what a stream holds.
-    fn settle(&mut self, prompt: u64, now: Time) {
+    fn update(&mut self, prompt: u64, now: Time) {
         self.release(prompt);
-        let Some(seen) = self.seen.get_mut(&prompt) else {
+        let Some(entry) = self.entries.get_mut(&prompt) else {
             return;
         };
-        self.due.remove(&(seen.due, prompt));
-        (seen.holds, seen.due) = seen.holds(now);
-        self.due.insert((seen.due, prompt));
-        match seen.holds {
-            Holds::Nothing => {}
-            Holds::Room(usage) => {
-                for (key, usage) in usage.at(seen.upstream, seen.backup) {
+        self.due.remove(&(entry.expires_at, prompt));
+        (entry.reservation, entry.expires_at) = entry.reservation_at(now);
+        self.due.insert((entry.expires_at, prompt));
+        match entry.reservation {
+            Reservation::Nothing => {}
+            Reservation::Resources(usage) => {
+                for (key, usage) in usage.at(entry.upstream, entry.backup) {
                     if let Some(entry) = self.usages.entry(key) {
                         entry.or_default().add(usage);
                     }
                 }
             }
-            Holds::Turn => {
-                let pool = seen.sighting.pool.clone();
+            Reservation::QueueSlot => {
+                let pool = entry.sighting.pool.clone();
                 self.waiting
                     .entry(pool)
                     .or_default()
-                    .insert((seen.at, prompt));
+                    .insert((entry.at, prompt));
             }
         }
     }
 
     /// Gives back what a stream holds.
     fn release(&mut self, prompt: u64) {
-        let Some(seen) = self.seen.get_mut(&prompt) else {
+        let Some(entry) = self.entries.get_mut(&prompt) else {
             return;
         };
-        match std::mem::replace(&mut seen.holds, Holds::Nothing) {
-            Holds::Nothing => {}
-            Holds::Room(usage) => {
-                for (key, usage) in usage.at(seen.upstream, seen.backup) {
+        match std::mem::replace(&mut entry.reservation, Reservation::Nothing) {
+            Reservation::Nothing => {}
+            Reservation::Resources(usage) => {
+                for (key, usage) in usage.at(entry.upstream, entry.backup) {
                     if let Some(entry) = self.usages.get_mut(key) {
                         entry.subtract(usage);
                     }
                 }
             }
-            Holds::Turn => {
-                if let Some(waiting) = self.waiting.get_mut(&seen.sighting.pool) {
-                    waiting.remove(&(seen.at, prompt));
+            Reservation::QueueSlot => {
+                if let Some(waiting) = self.waiting.get_mut(&entry.sighting.pool) {
+                    waiting.remove(&(entry.at, prompt));
                 }
             }
         }
     }
 
-    fn forget(&mut self, prompt: u64) {
+    fn remove(&mut self, prompt: u64) {
         self.release(prompt);
-        if let Some(seen) = self.seen.remove(&prompt) {
-            self.due.remove(&(seen.due, prompt));
+        if let Some(entry) = self.entries.remove(&prompt) {
+            self.due.remove(&(entry.expires_at, prompt));
         }
     }
 
     /// Forgets the older half, by time.
-    fn forget_older(&mut self, now: Time) {
-        let old = |seen: &Seen| now.since(seen.at) >= KEPT_MS / 2;
+    fn remove_older(&mut self, now: Time) {
+        let is_old = |entry: &Entry| now.since(entry.at) >= RETENTION_MS / 2;
         let old: Vec<u64> = self
-            .seen
+            .entries
             .iter()
-            .filter(|(_, seen)| old(seen))
+            .filter(|(_, entry)| is_old(entry))
             .map(|(prompt, _)| *prompt)
             .collect();
         for prompt in old {
-            self.forget(prompt);
+            self.remove(prompt);
         }
     }
 }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -51,7 +51,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.acquit(request.print);
+        self.clear_suspicion(request.print);
         self.note(&request, effect::What::Answered, Some(attempt_upstream));
         self.effects.push(Effect::Finish {
             caller: request.caller,
@@ -68,7 +68,7 @@
             return;
         };
         if let Some(upstream) = self.upstreams.get_mut(attempt.upstream) {
-            upstream.hear(self.now);
+            upstream.record_activity(self.now);
         }
         for other in self.requests[attempt.request].attempts.clone() {
             self.cancel(other);
@@ -77,7 +77,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.acquit(request.print);
+        self.clear_suspicion(request.print);
         self.note(&request, effect::What::Answered, Some(attempt.upstream));
         self.effects.push(Effect::Reply {
             body,
@@ -174,7 +174,7 @@
         attempt.last = self.now;
         attempt.started = true;
         attempt.suspected = false;
-        upstream.hear(self.now);
+        upstream.record_activity(self.now);
     }
 }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -63,12 +63,12 @@
 
 /// What this instance's own requests use, at every upstream that they use.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Own(SecondaryMap<upstream::Key, Usage>);
+pub(crate) struct OwnUsage(SecondaryMap<upstream::Key, Usage>);
 
 impl Core {
     /// What this instance's own requests use now.
-    pub(crate) fn own_usage(&self) -> Own {
-        let mut own = Own::default();
+    pub(crate) fn own_usage(&self) -> OwnUsage {
+        let mut own = OwnUsage::default();
         for attempt in self.attempts.values() {
             let Some(relay) = self.requests[attempt.request].work.relay() else {
                 continue;
@@ -84,7 +84,7 @@
     }
 
     /// What is believed to be in use at an upstream, by this instance and others.
-    pub(crate) fn usage(&self, own: &Own, key: upstream::Key) -> Usage {
+    pub(crate) fn usage(&self, own: &OwnUsage, key: upstream::Key) -> Usage {
         let mut usage = self.sightings.usage(key);
         usage.add(own.0.get(key).copied().unwrap_or_default());
         usage
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -10,26 +10,26 @@
     /// Settles which upstreams are held back: those of another version than the one in force, while one of that stays. The version
     /// in force is that of the upstream that was entered first, and stays so while the instance runs: crashed upstreams come back
     /// as the youngest.
-    pub(crate) fn settle_versions(&mut self) {
+    pub(crate) fn update_held(&mut self) {
         let mut changed = Vec::new();
         for pool in self.pools.values_mut() {
             if pool.version.is_none() {
                 let first = pool
                     .upstreams
                     .iter()
-                    .min_by_key(|key| self.upstreams[**key].since);
+                    .min_by_key(|key| self.upstreams[**key].registered_at);
                 pool.version = first.map(|key| self.upstreams[*key].version.clone());
             }
             let Some(in_force) = &pool.version else {
                 continue;
             };
-            let stays = pool.upstreams.iter().any(|key| {
+            let is_in_use = pool.upstreams.iter().any(|key| {
                 let upstream = &self.upstreams[*key];
-                upstream.version == *in_force && !upstream.leaves(self.now)
+                upstream.version == *in_force && !upstream.is_leaving(self.now)
             });
             for key in &pool.upstreams {
                 let upstream = &mut self.upstreams[*key];
-                let held = stays && upstream.version != *in_force;
+                let held = is_in_use && upstream.version != *in_force;
                 if held != upstream.held {
                     upstream.held = held;
                     changed.push(*key);
@@ -42,7 +42,7 @@
             } else {
                 effect::Belief::Released
             };
-            self.believe(key, belief);
+            self.log_belief(key, belief);
         }
     }
 }
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -12,7 +12,7 @@
         effect::{Effect, Sending},
         event::{ClaimOutcome, Event, Failure, Listed, Piece, Submission},
         kind::Kind,
-        notice::{Notice, Rest},
+        notice::{Backoff, Notice},
         position::Position,
         request::{Caller, Work},
         settings::Settings,
@@ -252,9 +252,9 @@
     let mut test = Test::new(Settings::default(), 1);
     test.ask("mill");
     let (attempt, upstream) = (test.attempts()[0], test.upstream());
-    let rest = Rest::For(3_000);
+    let rest = Backoff::For(3_000);
     let notice = Notice {
-        rest,
+        backoff: rest,
         ..Notice::default()
     };
     test.tell(Event::Noticed {
--- a/crates/core/tests/queue.rs
+++ b/crates/core/tests/queue.rs
@@ -7,7 +7,7 @@
         budget::Budget,
         clock::Time,
         config::{Customer, Priority},
-        detector::Detector,
+        detector::StallDetector,
         queue::Queue,
         request,
         settings::Settings,
@@ -141,13 +141,13 @@
 #[gtest]
 fn detector_follows_the_gaps_within_its_limits() {
     let settings = Settings::default();
-    let mut detector = Detector::default();
+    let mut detector = StallDetector::default();
     for _ in 0..500 {
         detector.observe(10);
     }
-    expect_that!(detector.bound(&settings), eq(settings.stall_min_ms));
+    expect_that!(detector.timeout_ms(&settings), eq(settings.stall_min_ms));
     for _ in 0..500 {
         detector.observe(5_000);
     }
-    expect_that!(detector.bound(&settings), eq(settings.stall_max_ms));
+    expect_that!(detector.timeout_ms(&settings), eq(settings.stall_max_ms));
 }
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -8,10 +8,10 @@
 pub const STREAM: &str = "/stream/1";
 
 /// Path of calls that may be repeated.
-pub const AGAIN: &str = "/again/1";
+pub const REPEATABLE: &str = "/again/1";
 
 /// Path of calls that may run once.
-pub const ONCE: &str = "/once/1";
+pub const NON_REPEATABLE: &str = "/once/1";
 
 /// A core with routes, and what it was told.
 pub struct Test {
@@ -43,7 +43,7 @@
     }
 
     pub fn configured(mut self, upstreams: usize) -> Self {
-        self.tell(Event::Config(Arc::new(configuration(1))));
+        self.handle(Event::Config(Arc::new(configuration(1))));
         self.list((0..upstreams).map(|index| listed(index, index)).collect());
         self
     }
@@ -87,23 +87,29 @@
         }
     }
 
-    pub fn ask(&mut self, path: &str) -> Caller {
-        self.ask_as("key", path, 0)
+    pub fn request(&mut self, path: &str) -> Caller {
+        self.request_as("key", path, 0)
     }
 
     /// Asks with a key, behind the event that the caller has.
-    pub fn ask_as(&mut self, key: &str, path: &str, position: u64) -> Caller {
-        self.ask_within(20_000, key, path, position)
+    pub fn request_as(&mut self, key: &str, path: &str, position: u64) -> Caller {
+        self.request_within(20_000, key, path, position)
     }
 
     /// Asks with so much patience, in milliseconds.
-    pub fn ask_within(&mut self, patience: u64, key: &str, path: &str, position: u64) -> Caller {
+    pub fn request_within(
+        &mut self,
+        patience: u64,
+        key: &str,
+        path: &str,
+        position: u64,
+    ) -> Caller {
         let tokens = if path == STREAM { 5_200 } else { 0 };
         self.submit(patience, key, path, position, tokens)
     }
 
     /// Asks for so many tokens; 0 does not say.
-    pub fn ask_of_size(&mut self, tokens: u32, path: &str) -> Caller {
+    pub fn request_of_size(&mut self, tokens: u32, path: &str) -> Caller {
         self.submit(20_000, "key", path, 0, tokens)
     }
 
@@ -117,7 +123,7 @@
     ) -> Caller {
         self.next += 1;
         let caller = Caller(self.next);
-        self.tell(Event::Submit(Box::new(Submission {
+        self.handle(Event::Submit(Box::new(Submission {
             caller,
             cursor: None,
             customer: key.into(),
@@ -143,9 +149,9 @@
 
     /// Has a stream sent and its first events passed on.
     pub fn stream(&mut self, events: u64) -> Sent {
-        self.ask(STREAM);
-        let sent = self.last();
-        self.tell(Event::Opened(sent.attempt));
+        self.request(STREAM);
+        let sent = self.last_sent();
+        self.handle(Event::Opened(sent.attempt));
         for position in 1..=events {
             self.pass_on(&sent, position);
         }
@@ -153,7 +159,7 @@
     }
 
     pub fn pass_on(&mut self, sent: &Sent, position: u64) {
-        self.tell(Event::Passed {
+        self.handle(Event::Passed {
             attempt: sent.attempt,
             bytes: format!("id: {position}\n\n").into_bytes().into(),
             position,
@@ -162,40 +168,40 @@
 
     pub fn close(&mut self, sent: &Sent, marked: bool) {
         let attempt = sent.attempt;
-        self.tell(Event::Closed { attempt, marked });
+        self.handle(Event::Closed { attempt, marked });
     }
 
     pub fn fail(&mut self, sent: &Sent, failure: Failure) {
-        self.tell(Event::Failed {
+        self.handle(Event::Failed {
             attempt: sent.attempt,
             failure,
         });
     }
 
     /// An attempt's connection breaks, and its upstream has ended or lives on.
-    pub fn break_off(&mut self, sent: &Sent, ended: bool) {
+    pub fn break_connection(&mut self, sent: &Sent, ended: bool) {
         self.fail(sent, Failure::Broken);
         let life = life(sent.upstream, 0);
-        self.tell(Event::Checked { ended, life });
+        self.handle(Event::Checked { ended, life });
     }
 
     pub fn answer(&mut self, sent: &Sent, verdict: Verdict) {
-        self.tell(Event::Answered {
+        self.handle(Event::Answered {
             attempt: sent.attempt,
             verdict,
         });
     }
 
     pub fn list(&mut self, listed: Vec<Listed>) {
-        self.tell(Event::List {
+        self.handle(Event::List {
             asked: self.now,
             listed: Some(listed),
         });
     }
 
     /// Has a stream told of that waits at another instance.
-    pub fn waits_elsewhere(&mut self, prompt: u64) {
-        self.tell(Event::Sighted(Sighting {
+    pub fn add_peer_waiting(&mut self, prompt: u64) {
+        self.handle(Event::Sighted(Sighting {
             backup: None,
             pool: "pool".into(),
             prompt,
@@ -206,7 +212,7 @@
     }
 
     /// When callers were asked to come back, in order.
-    pub fn come_backs(&self) -> Vec<u64> {
+    pub fn retry_afters(&self) -> Vec<u64> {
         let come_back = |effect: &Effect| match effect {
             Effect::Fail { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
@@ -244,12 +250,12 @@
     }
 
     /// What was sent last.
-    pub fn last(&self) -> Sent {
+    pub fn last_sent(&self) -> Sent {
         self.sent().pop().expect("something was sent")
     }
 
     /// Positions of the events given to callers.
-    pub fn given(&self) -> Vec<u64> {
+    pub fn delivered(&self) -> Vec<u64> {
         let position = |effect: &Effect| match effect {
             Effect::Pass { bytes, .. } => {
                 let text = std::str::from_utf8(bytes).unwrap();
@@ -261,7 +267,7 @@
     }
 
     /// Names of the last steps given to callers.
-    pub fn ends(&self) -> Vec<String> {
+    pub fn outcomes(&self) -> Vec<String> {
         let end = |effect: &Effect| match effect {
             Effect::Answer(_) => Some("answer".into()),
             Effect::Close(_) => Some("close".into()),
@@ -281,14 +287,14 @@
     }
 
     /// Lets time pass in the steps of a running instance.
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = self.now.after(10);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         self.effects.extend(self.core.handle(self.now, event));
     }
 }
--- a/crates/core/tests/relay/fleet.rs
+++ b/crates/core/tests/relay/fleet.rs
@@ -10,7 +10,7 @@
 /// A core that knows how many instances there are.
 fn one_of(instances: u32, settings: Settings) -> Test {
     let mut test = Test::set(settings).configured(12);
-    test.tell(Event::Instances(View::numbered(0, u64::from(instances))));
+    test.handle(Event::Instances(View::numbered(0, u64::from(instances))));
     test
 }
 
@@ -18,8 +18,8 @@
 fn stream_that_was_lost_before_its_first_event_is_sent_again_in_fleets_of_any_size() {
     for instances in FLEETS {
         let mut test = one_of(instances, Settings::default());
-        test.ask(STREAM);
-        let sent = test.last();
+        test.request(STREAM);
+        let sent = test.last_sent();
         test.fail(&sent, Failure::Broken);
         expect_that!(test.sent().len(), eq(2), "{instances} instances");
     }
@@ -35,8 +35,8 @@
         ..Settings::default()
     };
     let mut test = one_of(295, settings);
-    test.ask(STREAM);
-    let sent = test.last();
+    test.request(STREAM);
+    let sent = test.last_sent();
     test.fail(&sent, Failure::Broken);
     expect_that!(test.sent().len(), eq(1));
 }
@@ -46,10 +46,14 @@
     for failure in [Failure::NotSent, Failure::Replaced, Failure::Leaving] {
         let mut test = one_of(295, Settings::default());
         for _ in 0..4 {
-            test.ask(ONCE);
-            let sent = test.last();
+            test.request(NON_REPEATABLE);
+            let sent = test.last_sent();
             test.fail(&sent, failure);
-            expect_that!(test.last().attempt, not(eq(sent.attempt)), "{failure:?}");
+            expect_that!(
+                test.last_sent().attempt,
+                not(eq(sent.attempt)),
+                "{failure:?}"
+            );
         }
     }
 }
@@ -58,8 +62,8 @@
 fn call_that_runs_once_is_not_sent_again_after_a_break_in_any_fleet() {
     for instances in FLEETS {
         let mut test = one_of(instances, Settings::default());
-        test.ask(ONCE);
-        let sent = test.last();
+        test.request(NON_REPEATABLE);
+        let sent = test.last_sent();
         test.fail(&sent, Failure::Broken);
         expect_that!(test.sent().len(), eq(1), "{instances} instances");
     }
@@ -68,13 +72,13 @@
 #[gtest]
 fn request_waits_for_the_first_list_of_upstreams() {
     let mut test = Test::without_configuration();
-    test.tell(Event::Config(Arc::new(configuration(1))));
-    test.ask(ONCE);
-    test.pass(300);
-    expect_that!(test.ends(), is_empty());
+    test.handle(Event::Config(Arc::new(configuration(1))));
+    test.request(NON_REPEATABLE);
+    test.advance(300);
+    expect_that!(test.outcomes(), is_empty());
     test.list(vec![listed(0, 0)]);
     expect_that!(test.sent().len(), eq(1));
-    expect_that!(test.last().left_ms, eq(19_700));
+    expect_that!(test.last_sent().left_ms, eq(19_700));
 }
 
 /// How many streams go to the upstream that gets most, if each of some instances that know the same sends one
@@ -88,17 +92,17 @@
         let mut test = Test::set(settings.clone());
         test.core = Core::new(settings.clone(), [0; 32], u64::from(seed), NOW);
         let mut test = test.configured(60);
-        test.tell(Event::Instances(View::numbered(0, u64::from(instances))));
+        test.handle(Event::Instances(View::numbered(0, u64::from(instances))));
         // All but a few are known to be busy.
         for upstream in 4..60 {
-            test.tell(Event::Sighted(Sighting {
+            test.handle(Event::Sighted(Sighting {
                 prompt: 1_000 + upstream as u64,
                 stage: Stage::Started,
                 ..sighting(upstream, upstream)
             }));
         }
-        test.ask(STREAM);
-        *sent.entry(test.last().upstream).or_default() += 1;
+        test.request(STREAM);
+        *sent.entry(test.last_sent().upstream).or_default() += 1;
     }
     sent.values().copied().max().unwrap_or(0)
 }
@@ -122,20 +126,20 @@
                 takes_ms: 60.0,
             };
             let from = SocketAddr::from(([10, 0, 0, 1], instance + 1));
-            self.tell(Event::Demanded { demand, from });
+            self.handle(Event::Demanded { demand, from });
         }
     }
 
     /// One of 295 instances, before six upstreams of six slots.
     fn with_slots(settings: Settings) -> Self {
         let mut test = Self::set(settings);
-        test.tell(Event::Config(Arc::new(configuration(1))));
+        test.handle(Event::Config(Arc::new(configuration(1))));
         let slots = |upstream: Listed| Listed {
             slots: 6,
             ..upstream
         };
         test.list((0..6).map(|index| slots(listed(index, index))).collect());
-        test.tell(Event::Instances(View::numbered(0, 295)));
+        test.handle(Event::Instances(View::numbered(0, 295)));
         test
     }
 
@@ -143,13 +147,13 @@
     fn sent_of_a_hundred(asked: f64) -> usize {
         let mut test = Self::with_slots(Settings::default());
         for _ in 0..100 {
-            test.pass(250);
+            test.advance(250);
             test.demand(294, asked, 58);
             let before = test.sent().len();
-            test.ask(ONCE);
+            test.request(NON_REPEATABLE);
             if test.sent().len() > before {
-                let sent = test.last();
-                test.pass(60);
+                let sent = test.last_sent();
+                test.advance(60);
                 test.answer(&sent, Verdict::Good);
             }
         }
@@ -171,28 +175,28 @@
 #[gtest]
 fn what_instances_that_are_gone_asked_does_not_count() {
     let mut test = Test::set(Settings::default()).configured(6);
-    test.tell(Event::Instances(View::numbered(0, 295)));
+    test.handle(Event::Instances(View::numbered(0, 295)));
     test.demand(294, 100.0, 0);
-    test.pass(3_010);
-    test.ask(ONCE);
+    test.advance(3_010);
+    test.request(NON_REPEATABLE);
     expect_that!(test.sent().len(), eq(1));
 }
 
 #[gtest]
 fn words_of_few_instances_do_not_stand_for_hundreds() {
     let mut test = Test::set(Settings::default()).configured(6);
-    test.tell(Event::Instances(View::numbered(0, 295)));
+    test.handle(Event::Instances(View::numbered(0, 295)));
     test.demand(7, 10.0, 0);
-    test.ask(ONCE);
+    test.request(NON_REPEATABLE);
     expect_that!(test.sent().len(), eq(1));
 }
 
 #[gtest]
 fn what_is_asked_is_told_to_other_instances() {
     let mut test = Test::set(Settings::default()).configured(6);
-    test.ask(ONCE);
-    test.ask(ONCE);
-    test.pass(300);
+    test.request(NON_REPEATABLE);
+    test.request(NON_REPEATABLE);
+    test.advance(300);
     let told = test.effects.iter().find_map(|effect| match effect {
         Effect::Demand { demand, pressed } => Some((demand.clone(), *pressed)),
         _ => None,
@@ -209,12 +213,12 @@
     settings.calls.second = second;
     let mut test = Test::with_slots(settings);
     test.demand(294, asked, 58);
-    test.pass(300);
+    test.advance(300);
     test.demand(294, asked, 58);
     while test.sent().is_empty() {
-        test.ask(AGAIN);
+        test.request(REPEATABLE);
     }
-    let sent = test.last();
+    let sent = test.last_sent();
     test.answer(&sent, Verdict::Fault);
     test.sent().len()
 }
--- a/crates/core/tests/relay/life.rs
+++ b/crates/core/tests/relay/life.rs
@@ -29,25 +29,25 @@
 #[gtest]
 fn call_that_may_run_once_is_not_sent_again_behind_a_restart() {
     let mut test = lives(1);
-    test.ask(ONCE);
+    test.request(NON_REPEATABLE);
     test.list(vec![born(0, 9), born(1, 5)]);
     expect_that!(test.sent().len(), eq(1));
-    expect_that!(test.ends(), elements_are![eq("upstream_failed")]);
+    expect_that!(test.outcomes(), elements_are![eq("upstream_failed")]);
 }
 
 #[gtest]
 fn call_that_may_repeat_is_sent_again_behind_a_restart() {
     let mut test = lives(1);
-    test.ask(AGAIN);
+    test.request(REPEATABLE);
     test.list(vec![born(0, 9)]);
     expect_that!(test.sent().len(), eq(2));
-    expect_that!(test.ends(), is_empty());
+    expect_that!(test.outcomes(), is_empty());
 }
 
 #[gtest]
 fn copy_at_a_former_life_is_not_gone_on_from() {
     let mut test = lives(6);
-    test.tell(Event::Sighted(Sighting {
+    test.handle(Event::Sighted(Sighting {
         backup: Some(life(4, 5)),
         upstream: Some(life(1, 5)),
         ..sighting(1, 4)
@@ -55,22 +55,22 @@
     let mut listed: Vec<Listed> = (0..6).map(|index| born(index, 5)).collect();
     listed[4] = born(4, 9);
     test.list(listed);
-    test.ask_as("key", STREAM, 9);
-    expect_that!(test.last().copy, none());
-    expect_that!(test.last().upstream, eq(1));
+    test.request_as("key", STREAM, 9);
+    expect_that!(test.last_sent().copy, none());
+    expect_that!(test.last_sent().upstream, eq(1));
 }
 
 #[gtest]
 fn doubts_about_a_former_life_end_with_it() {
     let mut test = lives(1);
-    test.ask(AGAIN);
-    let sent = test.last();
+    test.request(REPEATABLE);
+    let sent = test.last_sent();
     test.fail(&sent, Failure::Broken);
     test.list(vec![born(0, 9)]);
-    test.ask(AGAIN);
-    expect_that!(test.last().upstream, eq(0));
+    test.request(REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
     let before = test.effects.len();
-    test.pass(1_200);
+    test.advance(1_200);
     expect_that!(beliefs(&test, before), is_empty());
 }
 
@@ -79,12 +79,12 @@
     let mut test = lives(6);
     test.list((0..6).map(|index| born(index, 9)).collect());
     for upstream in [0, 1] {
-        test.tell(Event::Blamed(life(upstream, 5)));
+        test.handle(Event::Blamed(life(upstream, 5)));
     }
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..30 {
-        test.ask(AGAIN);
-        used.insert(test.last().upstream);
+        test.request(REPEATABLE);
+        used.insert(test.last_sent().upstream);
     }
     expect_that!(used.contains(&0) || used.contains(&1), eq(true));
 }
@@ -98,8 +98,8 @@
         ..listed(9, 0)
     };
     test.list(vec![born(0, 5), foreign]);
-    test.ask(ONCE);
-    expect_that!(test.last().upstream, eq(0));
+    test.request(NON_REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
 }
 
 #[gtest]
@@ -123,7 +123,7 @@
         streams: false,
     };
     next.routes.push(route("/another/", call, true, false));
-    test.tell(Event::Config(Arc::new(next)));
+    test.handle(Event::Config(Arc::new(next)));
     expect_that!(beliefs(&test, before), elements_are![eq(&"replaced")]);
 }
 
@@ -132,8 +132,8 @@
     let mut test = lives(1);
     test.list(vec![]);
     test.list(vec![born(0, 9)]);
-    test.ask(ONCE);
-    expect_that!(test.last().upstream, eq(0));
+    test.request(NON_REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
 }
 
 #[gtest]
@@ -144,39 +144,39 @@
         ..born(0, 5)
     }]);
     test.list(vec![born(0, 9)]);
-    test.ask(ONCE);
-    expect_that!(test.last().upstream, eq(0));
+    test.request(NON_REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
 }
 
 #[gtest]
 fn life_that_says_no_birth_is_known_by_its_name() {
     let mut test = Test::new(1);
-    test.ask(ONCE);
+    test.request(NON_REPEATABLE);
     let before = test.effects.len();
     test.list(vec![listed(0, 0)]);
     expect_that!(beliefs(&test, before), is_empty());
-    expect_that!(test.ends(), is_empty());
+    expect_that!(test.outcomes(), is_empty());
 }
 
 #[gtest]
 fn list_that_tells_of_a_restart_is_taken_in_whole_before_anything_is_sent_on() {
     let mut test = lives(2);
-    test.ask(AGAIN);
-    let first = test.last().upstream;
+    test.request(REPEATABLE);
+    let first = test.last_sent().upstream;
     // In the order of the list the one that restarted comes before and behind the one that leaves.
     let mut listed: Vec<Listed> = (0..3).map(|index| born(index, 5)).collect();
     listed[first] = born(first, 9);
     listed[1 - first].leaving = true;
     test.list(listed);
     expect_that!(test.sent().len(), eq(2));
-    expect_that!(test.last().upstream, not(eq(1 - first)));
+    expect_that!(test.last_sent().upstream, not(eq(1 - first)));
 }
 
 #[gtest]
 fn load_of_a_former_life_is_not_that_of_the_next() {
     let mut test = lives(2);
     for prompt in 0..8 {
-        test.tell(Event::Sighted(Sighting {
+        test.handle(Event::Sighted(Sighting {
             backup: None,
             prompt: 1_000 + prompt,
             stage: Stage::Started,
@@ -184,17 +184,17 @@
             ..sighting(0, 0)
         }));
     }
-    test.ask(STREAM);
-    expect_that!(test.last().upstream, eq(1));
+    test.request(STREAM);
+    expect_that!(test.last_sent().upstream, eq(1));
     test.list(vec![born(0, 9), born(1, 5)]);
-    test.ask(STREAM);
-    expect_that!(test.last().upstream, eq(0));
+    test.request(STREAM);
+    expect_that!(test.last_sent().upstream, eq(0));
 }
 
 #[gtest]
 fn restart_at_another_address_is_another_life() {
     let mut test = lives(1);
-    test.ask(AGAIN);
+    test.request(REPEATABLE);
     let moved = Listed {
         address: address(5),
         ..born(0, 9)
@@ -202,7 +202,7 @@
     let before = test.effects.len();
     test.list(vec![moved]);
     expect_that!(beliefs(&test, before), contains(eq(&"restarted")));
-    expect_that!(test.last().upstream, eq(5));
+    expect_that!(test.last_sent().upstream, eq(5));
 }
 
 #[gtest]
@@ -212,7 +212,7 @@
     let mut listed: Vec<Listed> = (0..6).map(|index| born(index, 5)).collect();
     listed[sent.upstream] = born(sent.upstream, 9);
     test.list(listed);
-    let next = test.last();
+    let next = test.last_sent();
     expect_that!(Some(next.upstream), eq(sent.backup));
     expect_that!(next.position, eq(3));
 }
@@ -228,6 +228,6 @@
         beliefs(&test, before),
         elements_are![eq(&"new"), eq(&"restarted")]
     );
-    test.ask(ONCE);
-    expect_that!(test.last().upstream, eq(0));
+    test.request(NON_REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
 }
--- a/crates/core/tests/relay/limit.rs
+++ b/crates/core/tests/relay/limit.rs
@@ -27,9 +27,9 @@
     /// The same, seen by one instance of a fleet.
     fn fleet_with_a_limit(thousandths: u64, view: View) -> Self {
         let mut test = Self::new(1);
-        test.tell(Event::Instances(view));
-        test.ask(ONCE);
-        let sent = test.last();
+        test.handle(Event::Instances(view));
+        test.request(NON_REPEATABLE);
+        let sent = test.last_sent();
         test.limits(&sent, Limit::Rate(Rate(thousandths)));
         test.answer(&sent, Verdict::Good);
         test
@@ -39,10 +39,10 @@
     fn press(&mut self, millis: u64, limit: Limit) -> usize {
         let before = self.sent().len();
         for _ in 0..millis / 20 {
-            self.pass(10);
+            self.advance(10);
             let known = self.sent().len();
-            self.ask_within(100, "key", ONCE, 0);
-            self.pass(10);
+            self.request_within(100, "key", NON_REPEATABLE, 0);
+            self.advance(10);
             for sent in self.sent().split_off(known) {
                 self.limits(&sent, limit);
                 self.answer(&sent, Verdict::Good);
@@ -73,14 +73,14 @@
 #[gtest]
 fn other_upstreams_take_what_is_beyond_a_limit() {
     let mut test = Test::new(2);
-    test.ask(ONCE);
-    let limited = test.last();
+    test.request(NON_REPEATABLE);
+    let limited = test.last_sent();
     test.limits(&limited, Limit::Rate(Rate(1_000)));
     test.answer(&limited, Verdict::Good);
     for _ in 0..100 {
-        test.pass(10);
-        test.ask(ONCE);
-        let sent = test.last();
+        test.advance(10);
+        test.request(NON_REPEATABLE);
+        let sent = test.last_sent();
         let limit = if sent.upstream == limited.upstream {
             Limit::Rate(Rate(1_000))
         } else {
@@ -98,14 +98,14 @@
 #[gtest]
 fn second_sendings_and_streams_that_go_on_take_permits_too() {
     let mut test = Test::new(2);
-    test.ask(ONCE);
-    let limited = test.last();
+    test.request(NON_REPEATABLE);
+    let limited = test.last_sent();
     test.limits(&limited, Limit::Rate(Rate(100)));
     test.answer(&limited, Verdict::Good);
-    for path in [AGAIN, STREAM] {
+    for path in [REPEATABLE, STREAM] {
         for _ in 0..6 {
-            test.ask(path);
-            let sent = test.last();
+            test.request(path);
+            let sent = test.last_sent();
             expect_that!(sent.upstream, not(eq(limited.upstream)));
             test.fail(&sent, Failure::Refused);
         }
@@ -120,31 +120,31 @@
     let mut test = Test::new(3);
     let running = test.stream(2);
     let holder = running.backup.unwrap();
-    test.tell(Event::Limited {
+    test.handle(Event::Limited {
         life: life(holder, 0),
         rate: Some(Rate(100)),
     });
     test.fail(&running, Failure::Broken);
-    expect_that!(test.last().upstream, not(eq(holder)));
-    expect_that!(test.last().copy, none());
+    expect_that!(test.last_sent().upstream, not(eq(holder)));
+    expect_that!(test.last_sent().copy, none());
 }
 
 #[gtest]
 fn answer_without_a_limit_ends_it_only_if_it_was_asked_for_behind_the_word() {
     let mut test = Test::new(1);
-    test.ask(ONCE);
-    let before = test.last();
-    test.ask(ONCE);
-    let naming = test.last();
-    test.pass(10);
+    test.request(NON_REPEATABLE);
+    let before = test.last_sent();
+    test.request(NON_REPEATABLE);
+    let naming = test.last_sent();
+    test.advance(10);
     test.limits(&naming, Limit::Rate(Rate(1_000)));
     test.limits(&before, Limit::None);
     expect_that!(test.told(), elements_are![some(eq(&Rate(1_000)))]);
     test.answer(&naming, Verdict::Good);
     test.answer(&before, Verdict::Good);
-    test.pass(2 * SECOND);
-    test.ask(ONCE);
-    let behind = test.last();
+    test.advance(2 * SECOND);
+    test.request(NON_REPEATABLE);
+    let behind = test.last_sent();
     test.limits(&behind, Limit::None);
     test.answer(&behind, Verdict::Good);
     expect_that!(test.told(), elements_are![some(anything()), none()]);
@@ -154,7 +154,7 @@
 #[gtest]
 fn what_is_no_number_neither_names_nor_ends_a_limit() {
     let mut test = Test::with_a_limit(1_000);
-    let sent = test.press(10 * SECOND, Limit::Odd);
+    let sent = test.press(10 * SECOND, Limit::Malformed);
     expect_that!(sent, le(11));
     expect_that!(test.counted(Counter::NoticeOdd), eq(sent as u64));
 }
@@ -182,7 +182,7 @@
     let mut test = Test::new(1);
     let tell = |test: &mut Test, rate: Option<Rate>| {
         let life = life(0, 0);
-        test.tell(Event::Limited { life, rate });
+        test.handle(Event::Limited { life, rate });
     };
     tell(&mut test, Some(Rate(1_000)));
     expect_that!(test.press(5 * SECOND, Limit::Unknown), le(6));
@@ -194,10 +194,10 @@
 #[gtest]
 fn limit_that_another_instance_has_told_is_not_told_again_at_once() {
     let mut test = Test::new(1);
-    test.ask(ONCE);
-    let sent = test.last();
+    test.request(NON_REPEATABLE);
+    let sent = test.last_sent();
     let rate = Rate(1_000);
-    test.tell(Event::Limited {
+    test.handle(Event::Limited {
         life: life(0, 0),
         rate: Some(rate),
     });
@@ -253,9 +253,9 @@
 fn request_is_refused_at_once_where_other_instances_have_the_parts() {
     let mut test = Test::fleet_with_a_limit(1_000, without_a_part());
     test.effects.clear();
-    test.ask(ONCE);
-    expect_that!(test.ends(), elements_are![eq("overloaded")]);
-    expect_that!(test.come_backs(), elements_are![gt(&0)]);
+    test.request(NON_REPEATABLE);
+    expect_that!(test.outcomes(), elements_are![eq("overloaded")]);
+    expect_that!(test.retry_afters(), elements_are![gt(&0)]);
 }
 
 #[gtest]
@@ -265,11 +265,11 @@
     expect_that!(sent, all![ge(1), le(2)]);
     let known = test.sent().len();
     for _ in 0..40 {
-        test.pass(5 * SECOND);
+        test.advance(5 * SECOND);
         let rate = Some(Rate(1_000));
         let life = life(0, 0);
-        test.tell(Event::Limited { life, rate });
-        test.ask(ONCE);
+        test.handle(Event::Limited { life, rate });
+        test.request(NON_REPEATABLE);
     }
     expect_that!(test.sent().len(), eq(known));
 }
@@ -285,7 +285,7 @@
     test.press(2 * SECOND, Limit::Unknown);
     expect_that!(test.press(4 * SECOND, Limit::Unknown), ge(3));
     // One that is among the few by both views goes on.
-    test.tell(Event::Instances(view(joined)));
+    test.handle(Event::Instances(view(joined)));
     expect_that!(test.press(4 * SECOND, Limit::Unknown), ge(1));
 }
 
@@ -293,9 +293,9 @@
 fn request_waits_for_a_permit_that_comes_in_time() {
     let mut test = Test::with_a_limit(2_000);
     test.effects.clear();
-    test.ask(ONCE);
-    expect_that!(test.ends(), is_empty());
-    test.pass(520);
+    test.request(NON_REPEATABLE);
+    expect_that!(test.outcomes(), is_empty());
+    test.advance(520);
     expect_that!(test.sent().len(), eq(1));
 }
 
@@ -304,10 +304,10 @@
     let mut test = Test::with_a_limit(3_000);
     test.effects.clear();
     for _ in 0..6 {
-        test.ask(ONCE);
+        test.request(NON_REPEATABLE);
     }
     // Two permits come while a call may wait.
-    expect_that!(test.ends().len(), eq(4));
-    test.pass(1_100);
+    expect_that!(test.outcomes().len(), eq(4));
+    test.advance(1_100);
     expect_that!(test.sent().len(), eq(2));
 }
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -18,10 +18,10 @@
 
 /// Has upstreams end under a stream, one behind the other.
 fn end_upstreams(test: &mut Test, ends: usize) {
-    test.ask(STREAM);
+    test.request(STREAM);
     for _ in 0..ends {
-        let sent = test.last();
-        test.break_off(&sent, true);
+        let sent = test.last_sent();
+        test.break_connection(&sent, true);
     }
 }
 
@@ -36,8 +36,8 @@
     let mut test = Test::new(9);
     end_upstreams(&mut test, 3);
     expect_that!(test.sent().len(), eq(3));
-    expect_that!(test.ends(), elements_are![eq("ends_upstreams")]);
-    expect_that!(test.come_backs(), is_empty());
+    expect_that!(test.outcomes(), elements_are![eq("ends_upstreams")]);
+    expect_that!(test.retry_afters(), is_empty());
     expect_that!(test.counted(Counter::Quarantined), eq(1));
 }
 
@@ -45,9 +45,9 @@
 fn its_next_try_is_refused_at_once_as_not_run() {
     let mut test = Test::new(9);
     end_upstreams(&mut test, 3);
-    test.ask(STREAM);
+    test.request(STREAM);
     expect_that!(test.sent().len(), eq(3));
-    expect_that!(test.ends()[1], eq("quarantined"));
+    expect_that!(test.outcomes()[1], eq("quarantined"));
 }
 
 #[gtest]
@@ -57,35 +57,35 @@
     test.body = 1;
     let sent = test.stream(2);
     test.close(&sent, true);
-    expect_that!(test.ends()[1], eq("close"));
+    expect_that!(test.outcomes()[1], eq("close"));
 }
 
 #[gtest]
 fn call_under_which_upstreams_ended_over_several_tries_is_refused() {
     let mut test = Test::new(9);
     for ends in 0..2 {
-        test.ask(AGAIN);
+        test.request(REPEATABLE);
         for _ in 0..2 - ends {
-            let sent = test.last();
-            test.break_off(&sent, true);
+            let sent = test.last_sent();
+            test.break_connection(&sent, true);
         }
     }
-    test.ask(AGAIN);
+    test.request(REPEATABLE);
     expect_that!(test.sent().len(), eq(3));
-    expect_that!(test.ends().last(), some(eq("quarantined")));
+    expect_that!(test.outcomes().last(), some(eq("quarantined")));
 }
 
 #[gtest]
 fn sending_that_may_be_its_fourth_waits_until_it_is_known_whether_the_third_upstream_ended() {
     let mut test = Test::new(9);
     end_upstreams(&mut test, 2);
-    let third = test.last();
+    let third = test.last_sent();
     test.fail(&third, Failure::Broken);
-    test.pass(100);
+    test.advance(100);
     expect_that!(test.sent().len(), eq(3));
-    expect_that!(test.ends(), is_empty());
+    expect_that!(test.outcomes(), is_empty());
     let life = life(third.upstream, 0);
-    test.tell(Event::Checked { ended: false, life });
+    test.handle(Event::Checked { ended: false, life });
     expect_that!(test.sent().len(), eq(4));
 }
 
@@ -93,9 +93,9 @@
 fn sending_goes_on_when_it_does_not_come_out_whether_the_upstream_ended() {
     let mut test = Test::new(9);
     end_upstreams(&mut test, 2);
-    let third = test.last();
+    let third = test.last_sent();
     test.fail(&third, Failure::Broken);
-    test.pass(500);
+    test.advance(500);
     expect_that!(test.sent().len(), eq(4));
 }
 
@@ -103,10 +103,10 @@
 fn connections_that_break_to_upstreams_that_live_convict_nobody() {
     let mut test = Test::new(9);
     for _ in 0..4 {
-        test.ask(AGAIN);
+        test.request(REPEATABLE);
         for _ in 0..2 {
-            let sent = test.last();
-            test.break_off(&sent, false);
+            let sent = test.last_sent();
+            test.break_connection(&sent, false);
         }
     }
     expect_that!(test.sent().len(), eq(8));
@@ -126,12 +126,12 @@
         listed.map(|(index, at)| born(index, *at)).collect()
     };
     test.list(list(&births));
-    test.ask(STREAM);
+    test.request(STREAM);
     for _ in 0..3 {
-        let sent = test.last();
+        let sent = test.last_sent();
         test.fail(&sent, Failure::Broken);
         let life = life(sent.upstream, births[sent.upstream]);
-        test.tell(Event::Checked { ended: false, life });
+        test.handle(Event::Checked { ended: false, life });
         births[sent.upstream] += 5;
         test.list(list(&births));
     }
@@ -141,13 +141,13 @@
 #[gtest]
 fn upstreams_that_leave_and_end_convict_nobody() {
     let mut test = Test::new(9);
-    test.ask(STREAM);
+    test.request(STREAM);
     for _ in 0..4 {
-        let sent = test.last();
+        let sent = test.last_sent();
         let mut all: Vec<Listed> = (0..9).map(|index| listed(index, index)).collect();
         all[sent.upstream].leaving = true;
         test.list(all);
-        test.break_off(&sent, true);
+        test.break_connection(&sent, true);
     }
     expect_that!(test.sent().len(), eq(5));
     expect_that!(test.core.account().is_empty(), eq(true));
@@ -156,18 +156,18 @@
 #[gtest]
 fn what_another_instance_saw_takes_back_what_runs_here() {
     let mut test = Test::new(9);
-    test.ask(STREAM);
-    test.tell(told(0, 3..6));
+    test.request(STREAM);
+    test.handle(told(0, 3..6));
     expect_that!(cancelled(&test), eq(1));
-    expect_that!(test.ends(), elements_are![eq("ends_upstreams")]);
+    expect_that!(test.outcomes(), elements_are![eq("ends_upstreams")]);
 }
 
 #[gtest]
 fn what_another_instance_saw_takes_back_what_waits_here() {
     let mut test = Test::new(0);
-    test.ask(STREAM);
-    test.tell(told(0, 3..6));
-    expect_that!(test.ends(), elements_are![eq("quarantined")]);
+    test.request(STREAM);
+    test.handle(told(0, 3..6));
+    expect_that!(test.outcomes(), elements_are![eq("quarantined")]);
 }
 
 #[gtest]
@@ -176,12 +176,12 @@
     end_upstreams(&mut test, 2);
     let seen: Vec<usize> = test.sent()[..2].iter().map(|sent| sent.upstream).collect();
     for upstream in &seen {
-        test.tell(told(0, *upstream..upstream + 1));
+        test.handle(told(0, *upstream..upstream + 1));
     }
-    expect_that!(test.ends(), is_empty());
+    expect_that!(test.outcomes(), is_empty());
     let other = (0..9).find(|other| !seen.contains(other)).unwrap();
-    test.tell(told(0, other..other + 1));
-    expect_that!(test.ends(), elements_are![eq("ends_upstreams")]);
+    test.handle(told(0, other..other + 1));
+    expect_that!(test.outcomes(), elements_are![eq("ends_upstreams")]);
 }
 
 #[gtest]
@@ -189,12 +189,12 @@
     let mut test = Test::new(9);
     for _ in 0..2 {
         end_upstreams(&mut test, 2);
-        let sent = test.last();
-        test.tell(Event::Opened(sent.attempt));
+        let sent = test.last_sent();
+        test.handle(Event::Opened(sent.attempt));
         test.pass_on(&sent, 1);
         test.close(&sent, true);
     }
-    expect_that!(test.ends(), elements_are![eq("close"), eq("close")]);
+    expect_that!(test.outcomes(), elements_are![eq("close"), eq("close")]);
     expect_that!(test.counted(Counter::Quarantined), eq(0));
 }
 
@@ -205,11 +205,11 @@
         ..Settings::default()
     };
     let mut test = Test::set(settings).configured(9);
-    test.tell(told(7, 20..23));
-    test.tell(told(0, 20..22));
-    test.pass(100);
+    test.handle(told(7, 20..23));
+    test.handle(told(0, 20..22));
+    test.advance(100);
     end_upstreams(&mut test, 2);
-    expect_that!(test.ends(), is_empty());
+    expect_that!(test.outcomes(), is_empty());
 }
 
 #[gtest]
@@ -219,14 +219,14 @@
         let mut together = Vec::new();
         for body in 0..4 {
             test.body = body;
-            test.ask(STREAM);
-            together.push(test.last());
+            test.request(STREAM);
+            together.push(test.last_sent());
         }
         let account = |body| told(body, 20..21);
-        (0..4).for_each(|body| test.tell(account(body)));
+        (0..4).for_each(|body| test.handle(account(body)));
         let before = test.sent().len();
         for sent in &together {
-            test.break_off(sent, true);
+            test.break_connection(sent, true);
         }
         let mut after: Vec<usize> = test.sent()[before..]
             .iter()
@@ -263,24 +263,24 @@
 fn all_tries_that_wait_are_refused_together() {
     let mut test = Test::new(1);
     for _ in 0..8 {
-        test.ask(STREAM);
+        test.request(STREAM);
     }
-    test.tell(told(0, 3..6));
-    expect_that!(test.ends().len(), eq(8));
+    test.handle(told(0, 3..6));
+    expect_that!(test.outcomes().len(), eq(8));
 }
 
 #[gtest]
 fn try_is_given_up_once_when_it_shows_that_an_upstream_ended_under_another_try() {
     let mut test = Test::new(3);
     end_upstreams(&mut test, 2);
-    let first = test.last();
-    test.ask(STREAM);
-    let second = test.last();
+    let first = test.last_sent();
+    test.request(STREAM);
+    let second = test.last_sent();
     expect_that!(second.upstream, eq(first.upstream));
     test.fail(&first, Failure::Broken);
     test.fail(&second, Failure::Replaced);
     expect_that!(
-        test.ends(),
+        test.outcomes(),
         unordered_elements_are![eq("ends_upstreams"), eq("quarantined")]
     );
 }
@@ -288,10 +288,10 @@
 #[gtest]
 fn request_whose_connections_break_to_upstreams_that_live_is_not_held_back() {
     let mut test = Test::new(3);
-    test.ask(STREAM);
+    test.request(STREAM);
     for sent in 1..5 {
-        let last = test.last();
-        test.break_off(&last, false);
+        let last = test.last_sent();
+        test.break_connection(&last, false);
         expect_that!(test.sent().len(), eq(sent + 1));
     }
 }
@@ -301,7 +301,7 @@
 fn request_is_freed_where_it_is_kept_by_who_kept_it() {
     let freed = |test: &mut Test| {
         test.now = test.now.after(25 * 3_600_000);
-        test.tell(Event::Tick);
+        test.handle(Event::Tick);
         let own = |effect: &Effect| match effect {
             Effect::Quarantine(effect::Quarantine::Free { own, .. }) => Some(*own),
             _ => None,
@@ -312,6 +312,6 @@
     end_upstreams(&mut saw, 3);
     expect_that!(freed(&mut saw), elements_are![eq(&true)]);
     let mut heard = Test::new(9);
-    heard.tell(told(0, 0..3));
+    heard.handle(told(0, 0..3));
     expect_that!(freed(&mut heard), elements_are![eq(&false)]);
 }
--- a/crates/core/tests/relay/room.rs
+++ b/crates/core/tests/relay/room.rs
@@ -14,16 +14,16 @@
     /// Asks for some streams at the same moment.
     fn burst(&mut self, streams: usize) {
         for _ in 0..streams {
-            self.ask(STREAM);
+            self.request(STREAM);
         }
     }
 
     /// Has a stream's prompt read after a second.
     fn learn(&mut self) -> Sent {
-        self.ask(STREAM);
-        let sent = self.last();
-        self.pass(1_000);
-        self.tell(Event::Opened(sent.attempt));
+        self.request(STREAM);
+        let sent = self.last_sent();
+        self.advance(1_000);
+        self.handle(Event::Opened(sent.attempt));
         self.pass_on(&sent, 1);
         sent
     }
@@ -41,7 +41,7 @@
     let mut test = Test::set(unbounded()).configured(1);
     test.burst(40);
     expect_that!(test.sent().len(), eq(40));
-    expect_that!(test.ends(), is_empty());
+    expect_that!(test.outcomes(), is_empty());
 }
 
 #[gtest]
@@ -49,9 +49,9 @@
     let mut test = Test::new(1);
     test.burst(3);
     let first = test.sent()[0].clone();
-    test.tell(Event::Opened(first.attempt));
+    test.handle(Event::Opened(first.attempt));
     test.pass_on(&first, 1);
-    test.pass(10);
+    test.advance(10);
     expect_that!(test.sent().len(), eq(3));
 }
 
@@ -61,8 +61,8 @@
     test.learn();
     test.burst(30);
     expect_that!(test.sent().len(), eq(3));
-    expect_that!(test.ends(), not(is_empty()));
-    expect_that!(test.ends(), each(eq("overloaded")));
+    expect_that!(test.outcomes(), not(is_empty()));
+    expect_that!(test.outcomes(), each(eq("overloaded")));
 }
 
 #[gtest]
@@ -70,7 +70,7 @@
     let mut test = Test::new(1);
     test.learn();
     test.burst(60);
-    let mut come_backs = test.come_backs();
+    let mut come_backs = test.retry_afters();
     expect_that!(come_backs, each(all![ge(&200), le(&6_667)]));
     let asked = come_backs.len();
     come_backs.sort_unstable();
@@ -82,10 +82,10 @@
 fn waiting_stream_is_refused_when_it_can_no_longer_begin_in_time() {
     let mut test = Test::new(1);
     test.burst(3);
-    test.pass(4_400);
-    expect_that!(test.ends(), is_empty());
-    test.pass(200);
-    expect_that!(test.ends(), elements_are![eq("overloaded")]);
+    test.advance(4_400);
+    expect_that!(test.outcomes(), is_empty());
+    test.advance(200);
+    expect_that!(test.outcomes(), elements_are![eq("overloaded")]);
 }
 
 #[gtest]
@@ -93,9 +93,9 @@
     let mut test = Test::new(4);
     let mut copies = Vec::new();
     for _ in 0..40 {
-        test.ask(STREAM);
-        let sent = test.last();
-        test.tell(Event::Opened(sent.attempt));
+        test.request(STREAM);
+        let sent = test.last_sent();
+        test.handle(Event::Opened(sent.attempt));
         test.pass_on(&sent, 1);
         copies.push(sent.backup.is_some());
     }
@@ -107,9 +107,9 @@
 fn memory_of_an_upstream_is_not_overfilled() {
     let mut test = Test::new(1);
     for _ in 0..30 {
-        test.ask(STREAM);
-        let sent = test.last();
-        test.tell(Event::Opened(sent.attempt));
+        test.request(STREAM);
+        let sent = test.last_sent();
+        test.handle(Event::Opened(sent.attempt));
         test.pass_on(&sent, 1);
     }
     // Ten requests of 5,200 tokens fit into 55,000.
@@ -119,26 +119,26 @@
 #[gtest]
 fn streams_that_wait_at_other_instances_go_first() {
     let mut test = Test::new(1);
-    test.waits_elsewhere(1);
-    test.waits_elsewhere(2);
-    test.ask(STREAM);
+    test.add_peer_waiting(1);
+    test.add_peer_waiting(2);
+    test.request(STREAM);
     expect_that!(test.sent(), is_empty());
-    test.tell(Event::Sighted(Sighting {
+    test.handle(Event::Sighted(Sighting {
         prompt: 1,
         stage: Stage::Left,
         ..sighting(0, 0)
     }));
-    test.pass(10);
+    test.advance(10);
     expect_that!(test.sent().len(), eq(1));
 }
 
 #[gtest]
 fn streams_of_an_instance_that_is_gone_are_waited_for_in_bounds() {
     let mut test = Test::new(1);
-    test.waits_elsewhere(1);
-    test.waits_elsewhere(2);
-    test.pass(5_010);
-    test.ask(STREAM);
+    test.add_peer_waiting(1);
+    test.add_peer_waiting(2);
+    test.advance(5_010);
+    test.request(STREAM);
     expect_that!(test.sent().len(), eq(1));
 }
 
@@ -158,13 +158,13 @@
     let mut test = Test::new(1);
     let sent = test.learn();
     test.pass_on(&sent, 2);
-    test.ask(STREAM);
-    test.ask_within(14_000, "key", STREAM, 0);
+    test.request(STREAM);
+    test.request_within(14_000, "key", STREAM, 0);
     expect_that!(test.sent().len(), eq(2));
-    let second = test.last();
-    test.tell(Event::Opened(second.attempt));
+    let second = test.last_sent();
+    test.handle(Event::Opened(second.attempt));
     test.pass_on(&second, 1);
-    test.pass(10);
+    test.advance(10);
     expect_that!(test.sent().len(), eq(3));
 }
 
@@ -172,20 +172,20 @@
 fn stream_that_can_not_end_in_the_time_left_is_refused_at_once() {
     let mut test = Test::new(3);
     test.learn();
-    test.ask_within(500, "key", STREAM, 0);
+    test.request_within(500, "key", STREAM, 0);
     expect_that!(test.sent().len(), eq(1));
-    expect_that!(test.ends(), elements_are![eq("too_late")]);
-    expect_that!(test.come_backs(), elements_are![eq(&500)]);
+    expect_that!(test.outcomes(), elements_are![eq("too_late")]);
+    expect_that!(test.retry_afters(), elements_are![eq(&500)]);
 }
 
 #[gtest]
 fn upstream_that_refused_is_full_for_a_while() {
     let mut test = Test::new(1);
-    test.ask(STREAM);
-    let sent = test.last();
+    test.request(STREAM);
+    let sent = test.last_sent();
     test.fail(&sent, Failure::Refused);
     expect_that!(test.sent().len(), eq(1));
-    test.pass(260);
+    test.advance(260);
     expect_that!(test.sent().len(), eq(2));
 }
 
@@ -194,25 +194,25 @@
     let mut test = Test::new(2);
     test.burst(4);
     expect_that!(test.sent().len(), eq(4));
-    test.pass(6_000);
+    test.advance(6_000);
     expect_that!(test.sent().len(), eq(4));
-    expect_that!(test.ends(), is_empty());
+    expect_that!(test.outcomes(), is_empty());
 }
 
 #[gtest]
 fn request_waits_for_the_first_configuration_and_has_less_time_then() {
     let mut test = Test::without_configuration();
-    test.ask(ONCE);
-    test.pass(1_000);
+    test.request(NON_REPEATABLE);
+    test.advance(1_000);
     let test = test.configured(1);
-    expect_that!(test.last().left_ms, eq(19_000));
+    expect_that!(test.last_sent().left_ms, eq(19_000));
 }
 
 #[gtest]
 fn caller_that_leaves_while_there_is_no_configuration_is_forgotten() {
     let mut test = Test::without_configuration();
-    let caller = test.ask(ONCE);
-    test.tell(Event::CallerGone(caller));
+    let caller = test.request(NON_REPEATABLE);
+    test.handle(Event::CallerGone(caller));
     let test = test.configured(1);
     expect_that!(test.sent(), is_empty());
 }
@@ -220,19 +220,19 @@
 #[gtest]
 fn caller_who_has_a_part_waits_for_the_streams_that_were_kept() {
     let mut test = Test::new(6).recalling();
-    test.ask(ONCE);
-    test.ask_as("key", STREAM, 9);
+    test.request(NON_REPEATABLE);
+    test.request_as("key", STREAM, 9);
     expect_that!(test.sent().len(), eq(1));
-    test.tell(Event::Sighted(sighting(1, 4)));
-    test.tell(Event::Recalled);
-    expect_that!(test.last().copy, some(eq("run-before")));
+    test.handle(Event::Sighted(sighting(1, 4)));
+    test.handle(Event::Recalled);
+    expect_that!(test.last_sent().copy, some(eq("run-before")));
 }
 
 impl Test {
     /// Asks for calls at the same moment.
     fn calls(&mut self, calls: usize) {
         for _ in 0..calls {
-            self.ask(ONCE);
+            self.request(NON_REPEATABLE);
         }
     }
 
@@ -245,7 +245,7 @@
             waiting,
         };
         let attempt = sent.attempt;
-        self.tell(Event::Carried { attempt, load });
+        self.handle(Event::Carried { attempt, load });
         self.answer(sent, Verdict::Good);
     }
 }
@@ -255,16 +255,16 @@
     let mut test = Test::new(4);
     test.calls(20);
     expect_that!(test.sent().len(), eq(16));
-    test.pass(1_100);
-    expect_that!(test.ends().len(), eq(4));
-    expect_that!(test.ends(), each(eq("overloaded")));
+    test.advance(1_100);
+    expect_that!(test.outcomes().len(), eq(4));
+    expect_that!(test.outcomes(), each(eq("overloaded")));
 }
 
 #[gtest]
 fn streams_that_do_not_tell_their_size_have_no_window() {
     let mut test = Test::new(4);
     for _ in 0..40 {
-        test.ask_of_size(0, STREAM);
+        test.request_of_size(0, STREAM);
     }
     expect_that!(test.sent().len(), eq(40));
 }
@@ -275,7 +275,7 @@
     test.calls(16);
     for sent in test.sent() {
         test.fail(&sent, Failure::Broken);
-        test.pass(100);
+        test.advance(100);
     }
     let before = test.sent().len();
     test.calls(10);
@@ -285,9 +285,9 @@
 #[gtest]
 fn calls_at_once_follow_the_slots_that_upstreams_tell() {
     let mut test = Test::new(1);
-    test.tell(Event::Instances(View::numbered(0, 6)));
+    test.handle(Event::Instances(View::numbered(0, 6)));
     test.calls(1);
-    let sent = test.last();
+    let sent = test.last_sent();
     test.answer_with(&sent, 0);
     test.calls(10);
     // Three for each of six slots, over six instances.
@@ -300,7 +300,7 @@
     test.calls(16);
     for sent in test.sent() {
         test.answer_with(&sent, 9);
-        test.pass(100);
+        test.advance(100);
     }
     let before = test.sent().len();
     test.calls(10);
@@ -311,18 +311,18 @@
 fn permits_for_second_sendings_are_those_of_the_pool() {
     let mut test = Test::new(1);
     for _ in 0..100 {
-        test.ask(ONCE);
-        let sent = test.last();
+        test.request(NON_REPEATABLE);
+        let sent = test.last_sent();
         test.answer(&sent, Verdict::Good);
     }
-    test.tell(Event::Instances(View::numbered(0, 40)));
+    test.handle(Event::Instances(View::numbered(0, 40)));
     let mut again = 0;
     for _ in 0..30 {
-        test.ask(ONCE);
-        let sent = test.last();
+        test.request(NON_REPEATABLE);
+        let sent = test.last_sent();
         test.fail(&sent, Failure::Refused);
-        test.pass(1_100);
-        again += usize::from(test.last().attempt != sent.attempt);
+        test.advance(1_100);
+        again += usize::from(test.last_sent().attempt != sent.attempt);
     }
     // A part of a tenth of what four instances have, and one for each ten requests.
     expect_that!(again, all![gt(0), lt(30)]);
--- a/crates/core/tests/relay/version.rs
+++ b/crates/core/tests/relay/version.rs
@@ -30,7 +30,7 @@
 fn places(test: &mut Test, path: &str) -> Vec<usize> {
     let before = test.sent().len();
     for _ in 0..40 {
-        test.ask(path);
+        test.request(path);
     }
     let sent = test.sent().split_off(before);
     let backups = sent.iter().filter_map(|sent| sent.backup);
@@ -42,7 +42,7 @@
 
 #[gtest]
 fn version_that_nobody_ordered_gets_nothing_beside_the_one_in_force() {
-    for path in [STREAM, AGAIN, ONCE] {
+    for path in [STREAM, REPEATABLE, NON_REPEATABLE] {
         let mut test = beside();
         let places = places(&mut test, path);
         expect_that!(places, not(is_empty()));
@@ -54,7 +54,7 @@
 fn instance_that_starts_amid_two_versions_takes_the_one_that_was_there_first() {
     let mut test = Test::new(0);
     test.list(both());
-    expect_that!(places(&mut test, AGAIN), each(lt(&6)));
+    expect_that!(places(&mut test, REPEATABLE), each(lt(&6)));
 }
 
 #[gtest]
@@ -65,11 +65,11 @@
         of_version(1, "v1"),
         of_version(2, "v2"),
     ]);
-    test.ask(AGAIN);
-    let first = test.last();
+    test.request(REPEATABLE);
+    let first = test.last_sent();
     test.answer(&first, Verdict::Fault);
-    expect_that!(test.last().upstream, lt(2));
-    expect_that!(test.last().attempt, not(eq(first.attempt)));
+    expect_that!(test.last_sent().upstream, lt(2));
+    expect_that!(test.last_sent().attempt, not(eq(first.attempt)));
 }
 
 #[gtest]
@@ -77,20 +77,20 @@
     let mut test = beside();
     let sent = test.stream(3);
     test.fail(&sent, Failure::Broken);
-    expect_that!(test.last().upstream, lt(6));
+    expect_that!(test.last_sent().upstream, lt(6));
 }
 
 #[gtest]
 fn copy_at_another_version_is_not_gone_on_from() {
     let mut test = beside();
-    test.tell(Event::Sighted(Sighting {
+    test.handle(Event::Sighted(Sighting {
         backup: Some(life(8, 0)),
         upstream: Some(life(7, 0)),
         ..sighting(7, 8)
     }));
-    test.ask_as("key", STREAM, 9);
-    expect_that!(test.last().upstream, lt(6));
-    expect_that!(test.last().copy, none());
+    test.request_as("key", STREAM, 9);
+    expect_that!(test.last_sent().upstream, lt(6));
+    expect_that!(test.last_sent().copy, none());
 }
 
 #[gtest]
@@ -101,7 +101,7 @@
         ..listed
     });
     test.list(leaving.collect());
-    let places_then = places(&mut test, AGAIN);
+    let places_then = places(&mut test, REPEATABLE);
     expect_that!(places_then, not(is_empty()));
     expect_that!(places_then, each(ge(&6)));
 }
@@ -110,36 +110,36 @@
 fn upstreams_that_say_beside_answers_that_they_leave_hold_no_other_version_back() {
     let mut test = Test::new(0);
     test.list(vec![of_version(0, "v1"), of_version(1, "v2")]);
-    test.ask(AGAIN);
-    let sent = test.last();
+    test.request(REPEATABLE);
+    let sent = test.last_sent();
     let notice = Notice {
         leaving: true,
         ..Notice::default()
     };
-    test.tell(Event::Noticed {
+    test.handle(Event::Noticed {
         attempt: sent.attempt,
         notice,
         upstream: sent.key,
     });
     test.answer(&sent, Verdict::Good);
-    test.ask(AGAIN);
-    test.pass(100);
-    expect_that!(test.last().upstream, eq(1));
+    test.request(REPEATABLE);
+    test.advance(100);
+    expect_that!(test.last_sent().upstream, eq(1));
 }
 
 #[gtest]
 fn version_in_force_has_all_work_again_when_its_upstreams_are_back() {
     let mut test = beside();
     test.list(both().split_off(6));
-    expect_that!(places(&mut test, AGAIN), each(ge(&6)));
+    expect_that!(places(&mut test, REPEATABLE), each(ge(&6)));
     test.list(both());
-    expect_that!(places(&mut test, AGAIN), each(lt(&6)));
+    expect_that!(places(&mut test, REPEATABLE), each(lt(&6)));
 }
 
 #[gtest]
 fn upstreams_that_do_not_say_their_version_are_of_one() {
     let mut test = Test::new(12);
-    let mut places = places(&mut test, AGAIN);
+    let mut places = places(&mut test, REPEATABLE);
     places.sort_unstable();
     places.dedup();
     expect_that!(places.len(), gt(6));
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -8,7 +8,7 @@
 //!   wants nothing of this instance.
 
 use super::*;
-use wellplank_core::notice::{Notice, Rest};
+use wellplank_core::notice::{Backoff, Notice};
 
 /// Header by which an upstream that refuses says that it is leaving.
 pub(crate) const LEAVING: &str = "x-leaving";
@@ -116,7 +116,7 @@
     let value = response.headers().get(header::RETRY_AFTER);
     if let Some(value) = value.filter(|_| refuses(response.status())) {
         let notice = Notice {
-            rest: value.to_str().map_or(Rest::Odd, Rest::read),
+            backoff: value.to_str().map_or(Backoff::Malformed, Backoff::parse),
             ..Notice::default()
         };
         driver.event(Event::Noticed {
--- a/crates/node/src/note.rs
+++ b/crates/node/src/note.rs
@@ -3,7 +3,7 @@
 use super::*;
 use wellplank_core::{
     limit::Limit,
-    notice::{Notice, Rest},
+    notice::{Backoff, Notice},
     print::Print,
     quarantine::Account,
 };
@@ -18,14 +18,14 @@
 pub(crate) fn notice(request: &str, upstream: &str, status: StatusCode, notice: &Notice) {
     let status = status.as_u16();
     let leaving = notice.leaving;
-    let (rest_ms, odd) = match notice.rest {
-        Rest::For(millis) => (millis, false),
-        Rest::None => (0, false),
-        Rest::Odd => (0, true),
+    let (rest_ms, odd) = match notice.backoff {
+        Backoff::For(millis) => (millis, false),
+        Backoff::None => (0, false),
+        Backoff::Malformed => (0, true),
     };
     let (limit, odd) = match notice.limit {
         Limit::None | Limit::Unknown => (None, odd),
-        Limit::Odd => (None, true),
+        Limit::Malformed => (None, true),
         Limit::Rate(rate) => (Some(rate.per_second()), odd),
     };
     info!(request, upstream, status, leaving, limit, rest_ms, odd; "upstream said");
--- a/crates/standin/src/limited.rs
+++ b/crates/standin/src/limited.rs
@@ -91,7 +91,7 @@
         limit: Option<&'static str>,
         excused: bool,
     ) -> Option<usize> {
-        let rate = limit.and_then(|text| match Limit::read(text) {
+        let rate = limit.and_then(|text| match Limit::parse(text) {
             Limit::Rate(rate) => Some((text, rate)),
             _ => None,
         });
--- a/crates/standin/src/rush.rs
+++ b/crates/standin/src/rush.rs
@@ -14,7 +14,7 @@
     event::{Event, Failure, Listed, Verdict},
     limit::{Limit, Rate},
     members::View,
-    notice::{Notice, Rest},
+    notice::{Backoff, Notice},
     position::Position,
     request::{Caller, Relay},
     settings::{Calls, Limits, Settings},
@@ -739,7 +739,7 @@
         };
         for (instance, upstream) in told {
             let notice = Notice {
-                rest: Rest::For(rest_ms),
+                backoff: Backoff::For(rest_ms),
                 ..Notice::default()
             };
             let noticed = Event::Noticed {
--- a/crates/standin/src/word.rs
+++ b/crates/standin/src/word.rs
@@ -14,7 +14,7 @@
     clock::Time,
     event::Event,
     limit::{Limit, Rate},
-    notice::{Notice, Rest},
+    notice::{Backoff, Notice},
     upstream,
 };
 
@@ -72,14 +72,14 @@
             self.words.rests.entry(pair).or_default().push(span);
         }
         let rest = if rests {
-            Rest::For(rest_ms)
+            Backoff::For(rest_ms)
         } else {
-            Rest::None
+            Backoff::None
         };
         let notice = Notice {
             leaving,
             limit,
-            rest,
+            backoff: rest,
             ..Notice::default()
         };
         let noticed = Event::Noticed {
