--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -41,18 +41,18 @@
 pub mod upstream;
 
 mod admission;
-mod crash_suspects;
 mod dispatch;
 mod failure;
-mod monitor;
 mod patience;
-mod placement;
+mod place;
 mod relay;
 mod room;
 mod route;
 mod stream;
+mod suspicion;
 mod usage;
 mod version;
+mod watch;
 mod window;
 
 use {
@@ -65,7 +65,6 @@
     clock::Time,
     config::{Config, Policy, Priority},
     counter::{Counter, Timing},
-    crash_suspects::CrashSuspects,
     cursor::Cursor,
     demand::{Demand, Demands},
     detector::StallDetector,
@@ -100,6 +99,7 @@
         ops::RangeInclusive,
         sync::Arc,
     },
+    suspicion::CrashSuspects,
     upstream::{Health, Load, Upstream},
     usage::{OwnUsage, Usage},
     window::Window,
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/place.rs
@@ -164,7 +164,7 @@
         let upstream = &self.upstreams[candidate];
         let place = self.settings.place;
         let mut cost = upstream.failure_score.level(self.now) * place.trouble;
-        cost += f64::from(usage.reading) * place.reading;
+        cost += f64::from(usage.prefilling) * place.reading;
         cost += f64::from(usage.running) * place.running;
         cost += self.suspects_at(request.print, candidate) as f64 * place.suspect;
         if upstream.data_centre != self.data_centre {
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -173,9 +173,9 @@
         let starts = sighting.stage == sighting::Stage::Started;
         let upstream = sighting.upstream;
         let upstream = upstream.and_then(|life| self.lives.get(&life).copied());
-        let mut reading_ms = sighting::READING_MS;
+        let mut reading_ms = sighting::DEFAULT_PREFILL_MS;
         if let Some(upstream) = upstream.filter(|_| starts) {
-            let ahead = self.sightings.usage(upstream).reading_tokens;
+            let ahead = self.sightings.usage(upstream).prefill_tokens;
             let name = self.upstreams[upstream].pool.clone();
             let pool = self.pools.entry(name).or_default();
             pool.gauge.started(self.now);
@@ -234,7 +234,7 @@
         let copy = self.requests[owner].passage.copy.take();
         let own = self.own_usage();
         let backup = self.choose_backup(owner, upstream, &own);
-        let ahead_tokens = self.usage(&own, upstream).reading_tokens;
+        let ahead_tokens = self.usage(&own, upstream).prefill_tokens;
         let request = &self.requests[owner];
         if let Some(pool) = self.pools.get_mut(request.service.pool()) {
             pool.gauge.started(self.now);
--- a/crates/core/src/room.rs
+++ b/crates/core/src/room.rs
@@ -70,9 +70,9 @@
             }
             let usage = self.usage(own, *key);
             if late {
-                return need.fits(usage, room.late_fill) && usage.reading == 0;
+                return need.fits(usage, room.late_fill) && usage.prefilling == 0;
             }
-            let reads = room.reading == 0 || usage.reading < room.reading;
+            let reads = room.reading == 0 || usage.prefilling < room.reading;
             reads && need.fits(usage, room.fill) && self.begins_in_time(request, usage)
         });
         let before = if late { self.now } else { request.asked };
@@ -93,7 +93,7 @@
         let own = request.work.relay().map_or(0, |relay| relay.tokens);
         let tokens = own.min(self.counted_tokens(request));
         let pool = self.pools.get(request.service.pool());
-        let reading = pool.map_or(0, |pool| pool.gauge.reading(usage.reading_tokens + tokens));
+        let reading = pool.map_or(0, |pool| pool.gauge.reading(usage.prefill_tokens + tokens));
         let any_time = self.settings.room.late_fill == 0.0;
         any_time || self.now.after(reading) <= request.wanted_by
     }
@@ -103,7 +103,7 @@
         let room = self.settings.room;
         let free = room.fill * need.memory - f64::from(usage.tokens);
         let by_memory = (free / f64::from(need.tokens)) as usize;
-        let reading = room.reading.saturating_sub(usage.reading) as usize;
+        let reading = room.reading.saturating_sub(usage.prefilling) as usize;
         match (room.fill > 0.0, room.reading > 0) {
             (true, true) => by_memory.max(1).min(reading),
             (true, false) => by_memory.max(1),
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -12,7 +12,7 @@
 
 /// Time after which a prompt that another instance told of counts as read where it is not known how fast
 /// engines read, in milliseconds; where instances are many, they do not tell when it was.
-pub(crate) const READING_MS: u64 = 1_500;
+pub(crate) const DEFAULT_PREFILL_MS: u64 = 1_500;
 
 /// Time after which a stream that was told to wait no longer counts, in milliseconds: longer than streams
 /// are mostly let wait. The instance that told may be gone.
@@ -70,7 +70,7 @@
     /// Whether this instance relays it itself.
     is_own: bool,
     /// Time after which its prompt counts as read, in milliseconds.
-    reading_ms: u64,
+    prefill_ms: u64,
     sighting: Sighting,
     /// Upstream that runs it, if it is known.
     upstream: Option<upstream::Key>,
@@ -104,10 +104,10 @@
     fn reservation_at(&self, now: Time) -> (Reservation, Time) {
         let age = now.since(self.at);
         let tokens = self.sighting.tokens;
-        let room = |reading| Reservation::Resources(Usage::new(reading, tokens));
+        let room = |is_prefilling| Reservation::Resources(Usage::new(is_prefilling, tokens));
         let (reservation, until) = match self.sighting.stage {
             _ if self.is_own => (Reservation::Nothing, RETENTION_MS),
-            Stage::Started if age < self.reading_ms => (room(true), self.reading_ms),
+            Stage::Started if age < self.prefill_ms => (room(true), self.prefill_ms),
             Stage::Started | Stage::Streaming if age < RUNNING_MS => (room(false), RUNNING_MS),
             Stage::Waiting if age < WAITING_MS => (Reservation::QueueSlot, WAITING_MS),
             _ => (Reservation::Nothing, RETENTION_MS),
@@ -118,12 +118,12 @@
 
 impl Sightings {
     /// Notes what another instance told, or what this one tells if it is its `own`. Its prompt counts as read
-    /// after `reading_ms`.
+    /// after `prefill_ms`.
     pub fn add(
         &mut self,
         sighting: Sighting,
         is_own: bool,
-        reading_ms: u64,
+        prefill_ms: u64,
         lives: &UpstreamsByIncarnation,
         now: Time,
     ) {
@@ -150,7 +150,7 @@
                     expires_at: now,
                     reservation: Reservation::Nothing,
                     is_own,
-                    reading_ms: reading_ms.min(RUNNING_MS),
+                    prefill_ms: prefill_ms.min(RUNNING_MS),
                     upstream: find(sighting.upstream),
                     sighting,
                 };
--- a/crates/core/src/crash_suspects.rs
+++ b/crates/core/src/suspicion.rs
@@ -160,18 +160,18 @@
     }
 
     fn record_crash(&mut self, life: Life, requests: &BTreeMap<Print, quarantine::Part>) {
-        let mut new_crashes = Account::default();
+        let mut news = Account::default();
         for (print, part) in requests {
             if self
                 .crash_suspects
                 .account
                 .add(life, *print, *part, self.now)
             {
-                new_crashes.add(life, *print, *part, self.now);
+                news.add(life, *print, *part, self.now);
             }
         }
         self.crash_suspects.witnessed.insert(life);
-        self.publish_crashes(new_crashes);
+        self.publish_crashes(news);
     }
 
     /// Another instance, or the store, told of ends of upstreams.
@@ -179,8 +179,8 @@
         if self.settings.quarantine == Guilt::Off {
             return;
         }
-        let new_crashes = self.crash_suspects.account.merge(reported);
-        if !new_crashes.is_empty() {
+        let news = self.crash_suspects.account.merge(reported);
+        if !news.is_empty() {
             self.update_quarantine();
         }
     }
@@ -193,14 +193,14 @@
         for pending in self.crash_suspects.pending.values_mut() {
             pending.requests.remove(&print);
         }
-        let new_crashes = self.crash_suspects.account.clear(print);
-        self.publish_crashes(new_crashes);
+        let news = self.crash_suspects.account.clear(print);
+        self.publish_crashes(news);
     }
 
     /// Tells other instances what this one saw, and draws the conclusions.
-    fn publish_crashes(&mut self, new_crashes: Account) {
-        if !new_crashes.is_empty() {
-            self.push_quarantine_effect(effect::Quarantine::Tell(new_crashes));
+    fn publish_crashes(&mut self, news: Account) {
+        if !news.is_empty() {
+            self.push_quarantine_effect(effect::Quarantine::Tell(news));
             self.update_quarantine();
         }
     }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Usage {
     /// Prompts that are being read.
-    pub reading: u32,
+    pub prefilling: u32,
     /// Tokens of the requests whose prompts are being read.
-    pub reading_tokens: u32,
+    pub prefill_tokens: u32,
     /// Requests that run or wait.
     pub running: u32,
     /// Tokens in memory, copies of other upstreams' streams with them.
@@ -18,11 +18,11 @@
 
 impl Usage {
     /// What one request uses.
-    pub fn new(reading: bool, tokens: u32) -> Self {
-        let reads = reading && tokens > 0;
+    pub fn new(is_prefilling: bool, tokens: u32) -> Self {
+        let counts_prefill = is_prefilling && tokens > 0;
         Self {
-            reading: u32::from(reads),
-            reading_tokens: if reads { tokens } else { 0 },
+            prefilling: u32::from(counts_prefill),
+            prefill_tokens: if counts_prefill { tokens } else { 0 },
             running: 1,
             tokens,
         }
@@ -46,16 +46,16 @@
 
     /// Adds what others use.
     pub fn add(&mut self, other: Self) {
-        self.reading += other.reading;
-        self.reading_tokens += other.reading_tokens;
+        self.prefilling += other.prefilling;
+        self.prefill_tokens += other.prefill_tokens;
         self.running += other.running;
         self.tokens += other.tokens;
     }
 
     /// Takes out what was added.
     pub fn subtract(&mut self, other: Self) {
-        self.reading -= other.reading;
-        self.reading_tokens -= other.reading_tokens;
+        self.prefilling -= other.prefilling;
+        self.prefill_tokens -= other.prefill_tokens;
         self.running -= other.running;
         self.tokens -= other.tokens;
     }
