--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,67 +1,67 @@
-//! Limits that upstreams name: the requests a second that one takes from all instances together.
+//! Rate limits that upstreams announce: requests per second, from all instances together.
 //!
-//! The load that this answers: an upstream in need that each of hundreds of instances could send a request at the same moment.
-//! A limit that all divide leaves each less than a request, and the first requests of all of them are many times
-//! what the upstream takes. So few instances have a bucket of it, some for each request a second, and a bucket has_permit one
-//! permit at most: in any time all of them send what the limit allows and one request each.
+//! Guards against an overloaded upstream to which each of hundreds of instances could send a request at the same moment.
+//! If all instances shared a limit, each would get less than one request, and their first requests together would be many
+//! times what the upstream takes. So only a few instances hold a share, about one for each request per second, and
+//! a bucket holds one permit at most: in any period they send what the limit allows plus one request each.
 
 use super::*;
 
-/// Thousandths in a request.
+/// Units of [`Rate`] in one request per second.
 const RATE_SCALE: f64 = 1_000.0;
 
-/// Permits that a bucket has_permit, at most: more would add up over the instances that have one.
+/// Permits in a full bucket. More would add up over the instances that hold a share.
 const CAPACITY: f64 = 1.0;
 
-/// Requests a second with which an upstream is asked whose limit is less, or 0: without any its end would not be heard.
+/// Lowest rate at which an upstream is tried, also with a limit of 0. Without requests the end of a limit would not be seen.
 const PROBE_RATE: Rate = Rate(100);
 
-/// Time for which a limit that nobody hears of is believed without a question, in milliseconds: longer than an upstream that is
-/// asked with the least rate takes to say it again.
+/// Time after which an unconfirmed limit is probed, in milliseconds. Exceeds the interval at which an upstream that is
+/// tried at the lowest rate repeats its limit.
 const UNCONFIRMED_MS: u64 = 30_000;
 
-/// Time between two words of one instance on a limit that stays as it is, in milliseconds: so often that a lost word
-/// leaves others no question to ask.
+/// Interval at which an instance repeats an unchanged limit to its peers, in milliseconds. Short enough that peers that
+/// miss an update need not probe.
 const ANNOUNCE_MS: u64 = 5_000;
 
-/// Requests a second, in thousandths of one.
+/// Requests per second, in thousandths.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Rate(pub u64);
 
-/// What the head of an answer says of the requests that its upstream takes.
+/// Rate limit in the headers of a response.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Limit {
-    /// It names none: the upstream takes what comes.
+    /// None: the upstream takes any number of requests.
     None,
-    /// It names something that is no number of requests.
+    /// Not a decimal number.
     Malformed,
-    /// It takes so many from all instances together.
+    /// Limit on the requests from all instances together.
     Rate(Rate),
-    /// The answer says nothing of the upstream that was asked.
+    /// The response says nothing about the upstream that was asked.
     #[default]
     Unknown,
 }
 
-/// What this instance has of the limit of one upstream.
+/// This instance's share of an upstream's rate limit, as a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    /// When the level was so high.
+    /// When `permits` was computed; in the future for a share that starts later.
     refilled_at: Time,
-    /// Permits earned in a millisecond; 0 if others have the parts.
+    /// Refill rate; 0 if other instances hold the shares.
     refill_per_ms: f64,
-    /// When an answer last named the limit here; before there was one, when the instance was told of it.
+    /// When a response last confirmed the limit here; initially, when it became known.
     confirmed_at: Time,
-    /// Permits at hand, from 0 to 1.
+    /// Available permits, from 0 to 1.
     permits: f64,
     rate: Rate,
-    /// When the upstream is asked whether the limit still has_permit.
+    /// When to probe whether the limit still applies.
     probe_due: Time,
-    /// When others were last told, here or by another instance.
+    /// When this or another instance last told its peers.
     announced_at: Time,
 }
 
 impl TokenBucket {
-    /// Of a limit that is named for the first time; it begins without a permit.
+    /// Creates an empty bucket for a newly announced limit.
     fn new(rate: Rate, now: Time) -> Self {
         Self {
             refilled_at: now,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The limit that it is a bucket of.
+    /// Limit that it is a share of.
     pub fn rate(&self) -> Rate {
         self.rate
     }
@@ -84,7 +84,7 @@
         self.permits_at(now) >= CAPACITY
     }
 
-    /// When so many requests may have been sent; the end of time if others have the parts.
+    /// When the bucket will have provided `requests` permits; the end of time if other instances hold the shares.
     pub fn available_at(&self, requests: usize, now: Time) -> Time {
         let missing = requests as f64 * CAPACITY - self.permits_at(now);
         if missing <= 0.0 {
@@ -98,7 +98,7 @@
             .after((missing / self.refill_per_ms).ceil() as u64)
     }
 
-    /// Takes the permit of a request that is sent; false if there is none.
+    /// Takes the permit for a request; false if there is none.
     pub fn take_permit(&mut self, now: Time) -> bool {
         let has_permit = self.has_permit(now);
         self.refill(now);
@@ -108,11 +108,11 @@
 
     fn permits_at(&self, now: Time) -> f64 {
         let earned = now.since(self.refilled_at) as f64 * self.refill_per_ms;
-        // What a sum of parts lacks by rounding is no reason to wait.
+        // Tolerates the rounding error of summed shares.
         (self.permits + earned + f64::EPSILON * 8.0).min(CAPACITY)
     }
 
-    /// Brings the level up to a time; a bucket that begins later refill_per_ms from then on.
+    /// Adds the permits earned up to `now`; a share that starts later earns none before.
     fn refill(&mut self, now: Time) {
         if now > self.refilled_at {
             self.permits = self.permits_at(now);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Earns another bucket of a limit, from a time on; `None` if others have the parts.
+    /// Changes the share of the limit, with effect from a time on; `None` if other instances hold the shares.
     fn set_share(&mut self, rate: Rate, holders: usize, from: Option<Time>, now: Time) {
         self.refill(now);
         self.rate = rate;
@@ -141,22 +141,22 @@
 }
 
 impl Rate {
-    /// Requests a second.
+    /// Converts to requests per second.
     pub fn per_second(self) -> f64 {
         self.0 as f64 / RATE_SCALE
     }
 }
 
 impl Limit {
-    /// Reads a decimal number of requests a second.
+    /// Parses a decimal number of requests per second.
     pub fn parse(text: &str) -> Self {
-        // The cast saturates, so a number beyond all others is the largest one.
+        // The cast saturates, so larger numbers become the maximum.
         notice::decimal(text).map_or(Self::Malformed, |rate| {
             Self::Rate(Rate((rate * RATE_SCALE) as u64))
         })
     }
 
-    /// The stricter of two of which one answer names both; what can be read counts for more than what can not.
+    /// Returns the stricter of two limits in one response. A valid one takes precedence over a malformed one.
     #[must_use]
     pub fn stricter(self, other: Self) -> Self {
         match (self, other) {
@@ -169,7 +169,7 @@
 }
 
 impl Core {
-    /// An answer named a limit, or none, beside it.
+    /// Applies the rate limit from the headers of a response, or its absence.
     pub(crate) fn apply_limit(&mut self, key: upstream::Key, attempt: attempt::Key, limit: Limit) {
         match limit {
             Limit::None => self.apply_no_limit(key, attempt),
@@ -182,7 +182,7 @@
         }
     }
 
-    /// An upstream named its limit to this instance, which tells the others.
+    /// Applies a limit that the upstream announced to this instance, and tells the peers.
     fn apply_own_limit(&mut self, key: upstream::Key, rate: Rate) {
         let is_changed = self.set_limit(key, rate);
         let (now, life) = (self.now, self.upstreams[key].life);
@@ -197,7 +197,8 @@
         }
     }
 
-    /// An answer named no limit. It ends one that was named before its request was sent: answers overtake each other.
+    /// Handles a response without a limit. It lifts only a limit announced before its request was sent, as responses overtake
+    /// each other.
     fn apply_no_limit(&mut self, key: upstream::Key, attempt: attempt::Key) {
         let Some(bucket) = &self.upstreams[key].limit_bucket else {
             return;
@@ -211,7 +212,7 @@
         self.effects.push(Effect::Limit { life, rate: None });
     }
 
-    /// Another instance heard a limit from an upstream, or that it names none any more.
+    /// Applies a limit that a peer received from an upstream; `None` if the upstream no longer announces one.
     pub(crate) fn apply_peer_limit(&mut self, life: Life, rate: Option<Rate>) {
         let Some(key) = self.lives.get(&life).copied() else {
             return;
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Keeps to a limit from now on; whether it is another one than before.
+    /// Enforces a limit from now on; returns whether it differs from the previous one.
     pub(crate) fn set_limit(&mut self, key: upstream::Key, rate: Rate) -> bool {
         let now = self.now;
         let spread = self.rng.random_range(0..UNCONFIRMED_MS);
@@ -247,7 +248,7 @@
         is_changed
     }
 
-    /// Reckons anew what this instance has of a limit.
+    /// Recomputes this instance's share of a limit.
     pub(crate) fn update_share(&mut self, key: upstream::Key, rate: Rate) {
         let topic = self.upstreams[key].life.number();
         let holders = self.settings.limits.holders(rate, self.instances);
@@ -266,8 +267,8 @@
         }
     }
 
-    /// Has upstreams asked whose limits nobody has heard of for long: each instance by one request, at a time of its own, so
-    /// that the answer to the first spares the others.
+    /// Grants a permit for upstreams whose limit has long been unconfirmed. Each instance sends one request at a random
+    /// time, so that the response to the first spares the others.
     pub(crate) fn schedule_limit_probes(&mut self) {
         let now = self.now;
         for upstream in self.upstreams.values_mut() {
@@ -283,7 +284,7 @@
         }
     }
 
-    /// When an upstream takes a request that comes behind so many others; `None` if one does now or there is none.
+    /// When an upstream can take a request that has `ahead` others before it; `None` if one can now or there is none.
     pub(crate) fn available_at(&self, request: &Request, ahead: usize) -> Option<Time> {
         let pool = self.pools.get(request.service.pool())?;
         let accepts = |upstream: &Upstream| {
@@ -306,7 +307,7 @@
         available.min().filter(|available| *available > self.now)
     }
 
-    /// Whether all upstreams of a pool name limits, so that what it serves is the sum of these.
+    /// Whether all upstreams of a pool announce limits, so that their sum is the capacity of the pool.
     pub(crate) fn is_limited(&self, pool: &core::Pool) -> bool {
         let mut assignable = self.assignable(pool).peekable();
         assignable.peek().is_some() && assignable.all(|upstream| upstream.limit_bucket.is_some())
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -1,64 +1,64 @@
-//! What an upstream says of itself beside an answer, whatever becomes of the answer, and what follows from it.
+//! State that an upstream announces in response headers, whatever becomes of the response, and its effects.
 //!
-//! The platform's list may be late or away; these words are in the instance's own hands. Each holds from before any byte
-//! of the answer that brought it goes to a caller.
+//! The platform's list may be delayed or unavailable, while headers reach the instance directly. Each header takes effect
+//! before any byte of its response goes to a caller.
 
 use super::*;
 use limit::Rate;
 
-/// The longest rest that is believed, in milliseconds: one hour. An upstream that wants nothing for longer says that it
-/// leaves; a time written in another unit must not take one out for good.
+/// Longest accepted back-off, in milliseconds: one hour. An upstream that wants no requests for longer announces that it
+/// is leaving; a value in the wrong unit must not exclude one for good.
 const MAX_BACKOFF_MS: u64 = 3_600_000;
 
-/// Part of a rest, as a divisor, over which its ends are spread: instances that were turned away in the same moment, and callers
-/// that these refuse, must not come back in the same moment.
+/// Fraction of a back-off, as a divisor, by which its end is randomized. Instances that were refused at the same moment,
+/// and callers that these refuse, must not all return at the same moment.
 const JITTER_DIVISOR: u64 = 10;
 
-/// Time for which it is remembered what an upstream said that is listed no more, in milliseconds: an entry may be back
-/// seconds later, when the store was away, while upstreams that leave are gone within minutes.
+/// Retention time for the state of upstreams that are no longer listed, in milliseconds. An entry may return seconds
+/// later, after an outage of the store, while upstreams that leave are gone within minutes.
 const RETENTION_MS: u64 = 600_000;
 
-/// Upstreams whose words are remembered though they are listed no more, at most: all of the largest fleet designed for, replaced
-/// once. One takes under 100 bytes.
+/// Unlisted upstreams whose state is retained, at most: the largest supported fleet, replaced once. An entry takes under
+/// 100 bytes.
 const MAX_RETAINED: usize = 2_200;
 
-/// What the head of one answer says of the upstream that gave it.
+/// State of an upstream as announced in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Which requests it takes from all instances together.
+    /// Rate limit over all instances.
     pub limit: Limit,
-    /// Its load, if it tells that.
+    /// Load report; `None` if the response has none.
     pub load: Option<Load>,
-    /// Whether it wants no requests of this instance for a while.
+    /// Back-off requested from this instance.
     pub backoff: Backoff,
 }
 
-/// For how long an upstream wants no requests of the instance that it answers.
+/// Time for which an upstream wants no requests from the instance that it answers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Backoff {
-    /// For so many milliseconds.
+    /// Milliseconds.
     For(u64),
-    /// It does not ask for any.
+    /// No back-off requested.
     #[default]
     None,
-    /// It asks for something that is no time.
+    /// Not a valid number of seconds.
     Malformed,
 }
 
-/// What holds of a life of an upstream by its own words.
+/// State announced by one incarnation of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct DeclaredState {
-    /// Whether it is leaving, up to its end.
+    /// Whether it is shutting down; final for the incarnation.
     pub leaving: bool,
-    /// What it takes from all instances together, if it names that.
+    /// Rate limit over all instances; `None` if it announces none.
     pub limit: Option<Rate>,
-    /// Until when it wants no requests of this instance.
+    /// Until when this instance sends it no requests.
     pub backoff_until: Time,
 }
 
-/// What upstreams said that are listed no more.
+/// Announced state of upstreams that are no longer listed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetainedStates(BTreeMap<(Life, SocketAddr), Retained>);
 
@@ -69,7 +69,7 @@
 }
 
 impl Notice {
-    /// Whether the head says nothing of the upstream but its load.
+    /// Whether the headers announce nothing but load.
     pub fn is_plain(&self) -> bool {
         let unlimited = matches!(self.limit, Limit::None | Limit::Unknown);
         !self.leaving && self.backoff == Backoff::None && unlimited
@@ -77,16 +77,16 @@
 }
 
 impl Backoff {
-    /// Reads a time in seconds, which may have a fraction.
+    /// Parses a number of seconds, which may have a fraction.
     pub fn parse(text: &str) -> Self {
-        // The cast saturates, so a time beyond all numbers is the longest one.
+        // The cast saturates, so larger numbers become the maximum.
         decimal(text).map_or(Self::Malformed, |seconds| {
             Self::For((seconds * 1_000.0).ceil() as u64)
         })
     }
 }
 
-/// A number of digits that may have a fraction; no sign, exponent or unit.
+/// Parses digits with an optional fraction; no sign, exponent or unit.
 pub(crate) fn decimal(text: &str) -> Option<f64> {
     let text = text.trim();
     let is_plain = |byte: u8| byte.is_ascii_digit() || byte == b'.';
@@ -95,7 +95,7 @@
 }
 
 impl RetainedStates {
-    /// Remembers what an upstream said whose entry is gone. Of too many the oldest is forgotten.
+    /// Retains the state of an upstream that was removed. Evicts the oldest entry at capacity.
     pub fn keep(&mut self, upstream: &Upstream, now: Time) {
         self.0
             .retain(|_, retained| now.since(retained.at) < RETENTION_MS);
@@ -116,7 +116,7 @@
         self.0.insert(key, Retained { at: now, state });
     }
 
-    /// What a life said at an address before its entry was gone.
+    /// Removes and returns the state that an incarnation announced at an address before its entry was removed.
     pub fn take(&mut self, life: Life, address: SocketAddr) -> DeclaredState {
         let retained = self.0.remove(&(life, address));
         retained.map_or_else(DeclaredState::default, |retained| retained.state)
@@ -124,7 +124,7 @@
 }
 
 impl Core {
-    /// An upstream said something of itself beside the answer to an attempt.
+    /// Applies the headers of the response to an attempt.
     pub(crate) fn apply_notice(
         &mut self,
         key: upstream::Key,
@@ -148,8 +148,8 @@
         }
     }
 
-    /// An upstream says that it is leaving. That holds for the rest of its life, whatever the list says: the store may be away, or
-    /// show what it was told before. Calls went to such an upstream up to 6 s behind its word while the store was away.
+    /// Marks an upstream as leaving for the rest of its incarnation, whatever the list says: the store may be unavailable or
+    /// outdated. Calls went to such an upstream up to 6 s after its announcement while the store was unavailable.
     fn apply_own_leaving(&mut self, key: upstream::Key) {
         self.count(Counter::NoticeLeaving);
         if self.upstreams[key].declared.leaving {
@@ -159,8 +159,8 @@
         self.upstreams[key].declared.leaving = true;
     }
 
-    /// An upstream wants no requests for a while. A shorter word does not end an earlier one; without it an upstream that turned
-    /// requests away was sent more a quarter of a second later.
+    /// Starts or extends a back-off; a shorter one does not end an earlier one. Without it, an upstream that refused requests
+    /// got more a quarter of a second later.
     fn back_off(&mut self, key: upstream::Key, millis: u64) {
         self.count(Counter::NoticeRest);
         let millis = millis.min(MAX_BACKOFF_MS);
@@ -175,8 +175,8 @@
         self.refuse_bound_to_expire(key);
     }
 
-    /// Another instance heard from an upstream that it is leaving. It may be late, so it holds for a while only; the upstream's
-    /// own word is not in this instance's hands.
+    /// Applies a peer's report that an upstream is leaving. It may be outdated, so it expires, unlike the upstream's own
+    /// announcement to this instance.
     pub(crate) fn apply_peer_leaving(&mut self, life: Life) {
         let Some(key) = self.lives.get(&life).copied() else {
             return;
@@ -185,8 +185,7 @@
         self.set_leaving_hint(key);
     }
 
-    /// When the first upstream that a request may go to wants requests again, if all of them rest; `None` if one does not, or if
-    /// there is none.
+    /// When the first back-off ends, if all upstreams for a request are in one; `None` if any is not, or if there are none.
     pub(crate) fn backoff_end(&self, request: &Request) -> Option<Time> {
         let pool = self.pools.get(request.service.pool())?;
         let assignable = self.assignable(pool);
@@ -194,7 +193,7 @@
         ends.min().filter(|end| *end > self.now)
     }
 
-    /// Upstreams of a pool that work may be meant for, now or later.
+    /// Upstreams of a pool that work can be assigned to, now or after a back-off or rate limit.
     pub(crate) fn assignable<'a>(
         &'a self,
         pool: &'a core::Pool,
@@ -204,8 +203,8 @@
             .filter(|upstream| !upstream.held)
     }
 
-    /// When a caller is asked to come back whose request finds no upstream since all rest, in milliseconds: when the first of them wants
-    /// requests again, also where the caller waits less long. `None` if one does not rest.
+    /// Retry delay for a caller whose request finds all upstreams in back-off, in milliseconds: until the first back-off ends,
+    /// even if the caller would wait less. `None` if any upstream is not in back-off.
     pub(crate) fn backoff_retry_after(&mut self, request: &Request) -> Option<u64> {
         let end = self.backoff_end(request)?;
         let remaining = end.since(self.now).max(room::COME_BACK_MS);
@@ -215,8 +214,8 @@
         )
     }
 
-    /// Whether it is known that a request which so many others go before finds no upstream as long as it may wait, since all rest or
-    /// have named limits.
+    /// Whether a request with `ahead` others before it will find no upstream in its waiting time, because of back-offs
+    /// and rate limits.
     pub(crate) fn is_bound_to_expire(&self, request: &Request, ahead: usize) -> bool {
         let until = self.may_wait_until(request).min(request.deadline);
         let until = until.min(self.latest_start(request));
@@ -224,8 +223,8 @@
         available.is_some_and(|available| available >= until)
     }
 
-    /// When a request must be sent at last for its answer to come in the time wanted, or soon if it is too late for that. Calls that
-    /// were let wait up to the time wanted itself were all late.
+    /// Latest time to send a request so that its response meets the target time, or soon if that has become impossible. Calls
+    /// that were queued up to the target time itself were all late.
     fn latest_start(&self, request: &Request) -> Time {
         let pool = self.pools.get(request.service.pool());
         let takes = pool.map_or(0.0, |pool| pool.demands.takes_ms());
@@ -233,7 +232,7 @@
         request.send_by.max(Time(latest))
     }
 
-    /// Refuses a new request that no upstream takes as long as it may wait.
+    /// Refuses a new request that no upstream will take within its waiting time.
     pub(crate) fn check_availability(
         &mut self,
         request: &Request,
@@ -250,7 +249,7 @@
         })
     }
 
-    /// Gives up on what waits and is known to find no upstream in time, since one more rests.
+    /// Fails queued requests that will not find an upstream in time, after another upstream went into back-off.
     fn refuse_bound_to_expire(&mut self, key: upstream::Key) {
         let pool = self.upstreams[key].pool.clone();
         let is_expiring = |request: &Request| {
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -1,38 +1,37 @@
-//! Requests that were at upstreams when these ended: when one is held back, refused for good, or sent apart from others.
+//! Tracking of requests that crash their upstreams ("poison requests"): which ones to delay, quarantine or isolate.
 //!
-//! Answers one load pattern: a request that ends each upstream that begins to run it, and that its caller brings again, with
-//! others of its kind, at any instance. Its limit is that of the users: after the third end, and the time in which instances hear
-//! of each other, three more sendings in all.
+//! Guards against a request that crashes every upstream that starts running it, and that its caller keeps retrying, along
+//! with others like it, at any instance. The users' limit is three more sends in total, after the third crash and the
+//! time that instances need to hear of it from each other.
 
 use super::*;
 
-/// Time for which the answer to the question whether an upstream has ended is waited for, in milliseconds: longer than a
-/// connection is tried for.
+/// Time to wait for the check whether an upstream has crashed, in milliseconds. Exceeds the connect timeout of that check.
 const CHECK_TIMEOUT_MS: u64 = 400;
 
-/// Time for which an answer comes from an upstream before its end tells less of the request, in milliseconds: such requests ended
-/// upstreams 0.06 to 0.11 s behind their first token.
+/// Time that a response must have been streaming for a crash to count less against its request, in milliseconds. Poison
+/// requests crashed upstreams 0.06 to 0.11 s after their first token.
 const LONG_RUN_MS: u64 = 500;
 
-/// Time for which a broken connection may still turn out to have been the end of its upstream, in milliseconds: by then the list
-/// shows whether it was born anew.
+/// Time within which a broken connection may still prove to be the crash of its upstream, in milliseconds. By then the
+/// list shows whether the upstream was restarted.
 const PENDING_MS: u64 = 8_000;
 
-/// Ends of upstreams from which on a request is kept apart from others.
+/// Crashes from which on a request is kept apart from all others.
 const ISOLATION_CRASHES: usize = 2;
 
-/// Connections to an upstream that broke, of which it is not known whether it ended.
+/// Broken connections to an upstream that is not known to have crashed.
 #[derive(Clone, Debug)]
 struct Pending {
-    /// Whether somebody listened at its address behind the last of them: it lives, or was born anew.
+    /// Whether its address accepted a connection after the last one broke: it is alive, or was restarted.
     answered: bool,
-    /// When the first broke.
+    /// When the first connection broke.
     broken_at: Time,
-    /// The requests that were sent on them.
+    /// Requests that were sent on these connections.
     requests: BTreeMap<Print, quarantine::Part>,
 }
 
-/// A request that is not sent on before it is known whether its last upstream ended.
+/// Request whose retry waits for the check whether its last upstream crashed.
 #[derive(Clone, Copy, Debug)]
 struct Held {
     life: Life,
@@ -41,24 +40,24 @@
     until: Time,
 }
 
-/// What an instance believes of requests that end their upstreams.
+/// What this instance knows of requests that crash their upstreams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashSuspects {
     account: Account,
     guilty: BTreeMap<Print, BTreeSet<Life>>,
     held: Vec<Held>,
     pending: HashMap<Life, Pending>,
-    /// Ends that this instance saw itself.
+    /// Crashes that this instance observed itself.
     witnessed: BTreeSet<Life>,
 }
 
 impl CrashSuspects {
-    /// Whether this instance saw one of some lives end itself.
+    /// Whether this instance observed any of the crashes itself.
     fn has_witnessed(&self, lives: &BTreeSet<Life>) -> bool {
         lives.iter().any(|life| self.witnessed.contains(life))
     }
 
-    /// Guilty requests of whose ends this instance saw one itself.
+    /// Quarantined requests for which this instance observed at least one of the crashes.
     fn witnessed_guilty(&self) -> BTreeSet<Print> {
         let own = self
             .guilty
@@ -67,47 +66,47 @@
         own.map(|(print, _)| *print).collect()
     }
 
-    /// Whether a request was at any end, or may have been.
+    /// Whether a request was involved in a crash, confirmed or pending.
     fn is_suspect(&self, print: Print) -> bool {
         self.crash_count(print) > 0
     }
 
-    /// Ends at which a request was, those with it that are not certain.
+    /// Crashes in which a request was involved, including pending ones.
     fn crash_count(&self, print: Print) -> usize {
         let pending = self.pending.values().filter(|pending| !pending.answered);
         let pending = pending.filter(|pending| pending.requests.contains_key(&print));
         self.account.lives(print).count() + pending.count()
     }
 
-    /// Whether anything is known or to be found out.
+    /// Whether there are neither recorded crashes nor pending checks.
     fn is_idle(&self) -> bool {
         self.account.is_empty() && self.pending.is_empty()
     }
 }
 
 impl Core {
-    /// Whether a request is refused, since it ends the upstreams that run it.
+    /// Whether a request is refused because it crashes its upstreams.
     pub(crate) fn is_quarantined(&self, print: Print) -> bool {
         self.crash_suspects.guilty.contains_key(&print)
     }
 
-    /// Whether a request was at an upstream that ended.
+    /// Whether a request was at an upstream that crashed, or may have.
     pub(crate) fn is_crash_suspect(&self, print: Print) -> bool {
         !self.crash_suspects.is_idle() && self.crash_suspects.is_suspect(print)
     }
 
-    /// The requests that are refused.
+    /// Requests that are refused at present.
     pub fn quarantined(&self) -> impl Iterator<Item = Print> {
         self.crash_suspects.guilty.keys().copied()
     }
 
-    /// The unplanned ends of upstreams that this instance knows.
+    /// Unplanned ends of upstreams that this instance knows of.
     pub fn account(&self) -> &Account {
         &self.crash_suspects.account
     }
 
-    /// The connection of an attempt broke: its upstream may have ended. That one which leaves ends says nothing of
-    /// what it ran.
+    /// Handles a broken connection, which may mean that the upstream crashed. The end of an upstream that is shutting down
+    /// says nothing about the requests that it ran.
     pub(crate) fn suspect_crash(&mut self, attempt: &Attempt) {
         let upstream = &self.upstreams[attempt.upstream];
         if self.settings.quarantine == Guilt::Off || upstream.is_leaving(self.now) {
@@ -138,7 +137,7 @@
         }
     }
 
-    /// It is known whether an upstream ended whose connections broke.
+    /// Handles the result of the check whether an upstream with broken connections has crashed.
     pub(crate) fn apply_crash_check(&mut self, life: Life, ended: bool) {
         if ended {
             self.confirm_crash(life);
@@ -152,7 +151,7 @@
         }
     }
 
-    /// An upstream has ended without a word; what was sent on connections that broke was requests.
+    /// Records an unplanned end of an upstream, with the requests whose connections to it broke.
     pub(crate) fn confirm_crash(&mut self, life: Life) {
         if let Some(pending) = self.crash_suspects.pending.remove(&life) {
             self.record_crash(life, &pending.requests);
@@ -174,7 +173,7 @@
         self.publish_crashes(news);
     }
 
-    /// Another instance, or the store, told of ends of upstreams.
+    /// Merges crashes reported by another instance or by the store.
     pub(crate) fn merge_crashes(&mut self, reported: &Account) {
         if self.settings.quarantine == Guilt::Off {
             return;
@@ -185,7 +184,7 @@
         }
     }
 
-    /// A request was answered whole: it ends no upstream.
+    /// Clears a request of all crashes, as it was answered completely.
     pub(crate) fn clear_suspicion(&mut self, print: Print) {
         if !self.is_crash_suspect(print) {
             return;
@@ -197,7 +196,7 @@
         self.publish_crashes(news);
     }
 
-    /// Tells other instances what this one saw, and draws the conclusions.
+    /// Publishes what this instance observed, and updates the quarantine.
     fn publish_crashes(&mut self, news: Account) {
         if !news.is_empty() {
             self.push_quarantine_effect(effect::Quarantine::Tell(news));
@@ -209,7 +208,7 @@
         self.effects.push(Effect::Quarantine(effect));
     }
 
-    /// Finds out who is guilty by all that is known, and gives up on what is.
+    /// Recomputes the set of quarantined requests from all known crashes, and refuses those that are new in it.
     fn update_quarantine(&mut self) {
         let own = self.crash_suspects.witnessed_guilty();
         let suspects = &mut self.crash_suspects;
@@ -228,7 +227,7 @@
         let released = |print: &&Print| !self.crash_suspects.guilty.contains_key(print);
         let released: Vec<Print> = before.keys().filter(released).copied().collect();
         for print in released {
-            // Only who kept it removes it: else each of hundreds would write when one lapses.
+            // Only an instance that stored the entry deletes it; otherwise hundreds would write when one expires.
             let own = own.contains(&print);
             self.push_quarantine_effect(effect::Quarantine::Free { own, print });
         }
@@ -236,7 +235,7 @@
         self.push_quarantine_effect(effect::Quarantine::Keep(account));
     }
 
-    /// A request is guilty from now on: nothing of it is sent any more, and what an upstream has not yet begun is taken back.
+    /// Quarantines a request: it is not sent any more, and attempts that upstreams have not started are withdrawn.
     fn quarantine(&mut self, print: Print) {
         self.count(Counter::Quarantined);
         let suspects = &self.crash_suspects;
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Gives up on a request that ends its upstreams, unless that has been done.
+    /// Fails a request that crashes its upstreams, unless it has already been failed.
     pub(crate) fn refuse_quarantined(&mut self, key: request::Key) {
         if !self.requests.contains_key(key) {
             return;
@@ -262,8 +261,8 @@
         self.give_up(key, Kind::Quarantined, Kind::EndsUpstreams);
     }
 
-    /// Sends a request on whose last upstream was lost, once it is known whether that may be its fault: the answer takes
-    /// milliseconds, and is waited for only by a request that it may convict.
+    /// Retries a request after the loss of its upstream. One that another crash would quarantine first waits for the check
+    /// whether the upstream crashed, which takes milliseconds.
     pub(crate) fn retry_after_crash_check(
         &mut self,
         key: request::Key,
@@ -303,8 +302,7 @@
         }
     }
 
-    /// Time passed: what waits for an answer that does not come goes on, connections that broke long ago say nothing more,
-    /// and ends lapse.
+    /// Retries requests whose crash check timed out, drops old broken connections, and expires recorded crashes.
     pub(crate) fn expire_crash_suspects(&mut self) {
         let now = self.now;
         if self.crash_suspects.account.lapses(now) {
@@ -319,9 +317,9 @@
         }
     }
 
-    /// Requests of this instance at an upstream that a request had better be sent apart from: one that was at an end from all that
-    /// were, so that the next end tells them from each other; any other from those that were at two, so that it is in no
-    /// third with them.
+    /// Number of this instance's requests at an upstream from which a request should be kept apart. For one that was involved
+    /// in a crash these are all that were, so that the next crash tells them apart; for any other, those involved in two, so
+    /// that it is not involved in their third.
     pub(crate) fn suspects_at(&self, print: Print, candidate: upstream::Key) -> usize {
         if self.crash_suspects.is_idle() {
             return 0;
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams: engines and plain services that requests are sent to.
+//! Upstreams: inference engines and plain services that requests are sent to.
 
 use super::*;
 
@@ -7,47 +7,46 @@
     pub struct Key;
 }
 
-/// What is believed of an upstream's life.
+/// Health of an upstream as seen by this instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Health {
-    /// It answers.
+    /// Responsive.
     Live,
-    /// It was given up on; it gets no work until a probe succeeds.
+    /// Given up on; gets no work until a probe succeeds.
     Lost,
-    /// It is silent; it gets no new work while others can take it.
+    /// Silent or failing; gets no new work while others can take it.
     Suspected,
 }
 
-/// A load report of an upstream; old by some unknown lag when it arrives.
+/// Load report of an upstream; outdated by an unknown lag when it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Whether the upstream says that it is leaving.
+    /// Whether the upstream is shutting down.
     pub leaving: bool,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// Requests that run at once, at most.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests waiting.
+    /// Queued requests.
     pub waiting: u32,
 }
 
-/// Time for which starts and ends are remembered one by one, in milliseconds; longer than the age of
-/// any load report.
+/// Retention time for single load changes, in milliseconds. Exceeds the age of any load report.
 const CHANGE_RETENTION_MS: u64 = 5_000;
 
-/// A start or end of an attempt, or slots taken out of belief after a refusal.
+/// Start or end of an attempt, or slots assumed to be taken after a refusal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadChange {
-    /// When it was.
+    /// When it happened.
     pub at: Time,
-    /// What it adds to the work believed to be there.
+    /// Change of the estimated load, in requests.
     pub delta: i64,
 }
 
-/// Time in which half of an upstream's past failures are forgotten, in milliseconds.
+/// Half-life of an upstream's failure score, in milliseconds.
 const FAILURE_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Failures of an upstream, each fading with time.
+/// Number of failures of an upstream, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureScore {
     at: Time,
@@ -55,18 +54,18 @@
 }
 
 impl FailureScore {
-    /// Notes one failure.
+    /// Adds one failure.
     pub fn record(&mut self, now: Time) {
         self.level = self.level(now) + 1.0;
         self.at = now;
     }
 
-    /// When the last failure was.
+    /// Time of the last failure.
     pub fn last_failure(&self) -> Time {
         self.at
     }
 
-    /// Failures of late; 1 for one that happened just now.
+    /// Decayed number of failures; 1 for a single one just now.
     pub fn level(&self, now: Time) -> f64 {
         if self.level == 0.0 {
             return 0.0;
@@ -75,69 +74,69 @@
     }
 }
 
-/// One upstream.
+/// State of one upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Attempts of this instance under way.
+    /// This instance's attempts in progress.
     pub attempts: Vec<attempt::Key>,
-    /// Sum of this instance's starts less ends since what the last load report holds.
+    /// Starts minus ends of this instance's attempts that the last load report does not include.
     pub unreported: i64,
-    /// Whether this instance works with it, where it works with a part of the pool only.
+    /// Whether it is in this instance's subset of the pool; always true without subsetting.
     pub in_subset: bool,
-    /// Data centre that it stands in.
+    /// Data centre that it runs in.
     pub data_centre: Arc<str>,
-    /// Until when it is doubted, where upstreams are not probed.
+    /// Until when it stays suspected, if upstreams are not probed.
     pub suspected_until: Time,
-    /// Gaps between its tokens.
+    /// Statistics of the gaps between its tokens.
     pub detector: StallDetector,
-    /// What is believed of its life.
+    /// Health as seen by this instance.
     pub health: Health,
-    /// Until when it is believed to have no room, since it refused a request.
+    /// Until when it is assumed to have no capacity, after it refused a request.
     pub full_until: Time,
-    /// Last time anything came from it.
+    /// When anything was last received from it.
     pub last_heard: Time,
-    /// Whether it gets no work, as it is of another version than the one in force.
+    /// Whether it gets no work because its version is not the active one.
     pub held: bool,
-    /// Its life.
+    /// Its incarnation.
     pub life: Life,
-    /// Whether the platform's list says that it is leaving, or has dropped it.
+    /// Whether the platform's list marks it as leaving or no longer contains it.
     pub leaving: bool,
-    /// Until when an earlier word that it is leaving counts, though the list says otherwise.
+    /// Until when an earlier hint that it is leaving overrides the list.
     pub leaving_until: Time,
-    /// Requests that it runs at once, by the platform's list; 0 where that is not known.
+    /// Maximum number of concurrent requests by the platform's list; 0 if unknown.
     pub listed_slots: u32,
     /// Last load report.
     pub load: Load,
     /// Unique name in the platform's list.
     pub name: Arc<str>,
-    /// What this instance has of the limit that it named; `None` while it names none.
+    /// This instance's share of the rate limit; `None` without a limit.
     pub limit_bucket: Option<limit::TokenBucket>,
     /// Pool in the platform's list.
     pub pool: Arc<str>,
     /// Time of the next probe.
     pub next_probe: Time,
-    /// Time at which the last probe was sent.
+    /// When the last probe was sent.
     pub last_probe: Time,
-    /// Time at which the last probe was sent, while it is not answered.
+    /// When the pending probe was sent; `None` if none is pending.
     pub probe_sent: Option<Time>,
-    /// Place in the order in which upstreams were entered; the first of all where that is not known.
+    /// Position in the order of registration; the lowest if unknown.
     pub registered_at: Position,
-    /// Milliseconds that calls of all instances take there of late; 0 where none is known.
+    /// Recent average duration of calls from all instances, in milliseconds; 0 if unknown.
     pub takes_ms: f64,
-    /// Failures of late, each fading with time.
+    /// Recent failures.
     pub failure_score: FailureScore,
-    /// What holds of it by its own words.
+    /// State announced in its response headers.
     pub declared: notice::DeclaredState,
-    /// Version of its software; empty where it does not say.
+    /// Software version; empty if it does not state one.
     pub version: Arc<str>,
-    /// Starts and ends of the last while, oldest first, of which a report may hold some.
+    /// Recent load changes, oldest first, some of which a load report may include.
     pub recent_changes: VecDeque<LoadChange>,
 }
 
 impl Upstream {
-    /// Requests believed to run or wait there: the last report and what this instance did since.
+    /// Requests estimated to be running or queued there: the last report plus this instance's changes since.
     ///
     /// The anchor and local count follow the `RouteGrail` paper.
     pub fn estimated_load(&self) -> u32 {
@@ -145,7 +144,7 @@
         (reported.max(0) as u32).max(self.attempts.len() as u32)
     }
 
-    /// Notes that something came from it.
+    /// Records that something was received from it.
     pub fn record_activity(&mut self, now: Time) {
         self.last_heard = now;
         if self.health == Health::Suspected {
@@ -153,8 +152,7 @@
         }
     }
 
-    /// Takes in a load report whose content is `lag_ms` milliseconds old; what this instance did
-    /// before that is in it.
+    /// Applies a load report that is `lag_ms` milliseconds old. Changes of this instance before that are included in it.
     pub fn apply_load_report(&mut self, load: Load, now: Time, lag_ms: u64) {
         self.load = load;
         self.recent_changes
@@ -162,7 +160,7 @@
         self.unreported = self.recent_changes.iter().map(|change| change.delta).sum();
     }
 
-    /// Notes a start or an end.
+    /// Records the start or end of an attempt.
     pub fn adjust_load(&mut self, delta: i64, now: Time) {
         let is_old = |change: &mut LoadChange| now.since(change.at) > CHANGE_RETENTION_MS;
         while self.recent_changes.pop_front_if(is_old).is_some() {}
@@ -175,8 +173,7 @@
         self.in_subset && self.health == Health::Live && self.may_serve(now)
     }
 
-    /// Whether work may be meant for it, as far as it goes by what it is and says: it neither leaves nor rests, is of the
-    /// version in force, and takes one more request.
+    /// Whether it can take one more request, apart from its health: it is available and within its rate limit.
     pub fn may_serve(&self, now: Time) -> bool {
         self.is_available(now)
             && self
@@ -184,35 +181,35 @@
                 .is_none_or(|bucket| bucket.has_permit(now))
     }
 
-    /// The same, also for what has to wait for a permit.
+    /// Whether it is neither leaving nor in back-off, and of the active version. Its rate limit may be exhausted.
     pub fn is_available(&self, now: Time) -> bool {
         !self.is_leaving(now) && !self.is_in_backoff(now) && !self.held
     }
 
-    /// Takes the permit of a request that is sent, where it named a limit; false if there is none.
+    /// Takes a permit for a request; false if its rate limit is exhausted.
     pub fn take_permit(&mut self, now: Time) -> bool {
         self.limit_bucket
             .as_mut()
             .is_none_or(|bucket| bucket.take_permit(now))
     }
 
-    /// Whether it asked this instance for rest.
+    /// Whether it asked this instance to back off.
     pub fn is_in_backoff(&self, now: Time) -> bool {
         now < self.declared.backoff_until
     }
 
-    /// Whether it is leaving, by any signal.
+    /// Whether it is leaving, by any source.
     pub fn is_leaving(&self, now: Time) -> bool {
         self.leaving || self.declared.leaving || now < self.leaving_until
     }
 
-    /// Requests it takes at once.
+    /// Maximum number of concurrent requests by its load report; at least 1.
     pub fn slots(&self) -> u32 {
         self.load.slots.max(1)
     }
 }
 
-/// Hash of an upstream's name, as cursors carry it.
+/// Hash of an upstream's name, as used in cursors.
 pub fn id(name: &str) -> u64 {
     print::first(&blake3::hash(name.as_bytes()))
 }
