--- a/crates/core/src/detector.rs
+++ b/crates/core/src/detector.rs
@@ -1,11 +1,11 @@
-//! Adaptive bound on the silence of a stream.
+//! Adaptive timeout for stalled streams.
 
 use super::*;
 
-/// Weight of a new sample in the running averages.
+/// Weight of a new sample in the moving averages.
 const GAIN: f64 = 0.05;
 
-/// Running mean and deviation of the gaps between tokens of one upstream, in milliseconds.
+/// Moving average and deviation of the gaps between an upstream's tokens, in milliseconds.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     deviation: f64,
@@ -22,13 +22,13 @@
 }
 
 impl StallDetector {
-    /// Silence in milliseconds after which a stream is suspected.
+    /// Silence after which a stream is suspected, in milliseconds.
     pub fn timeout_ms(&self, settings: &Settings) -> u64 {
         let timeout = self.mean * 2.0 + self.deviation * 6.0;
         (timeout as u64).clamp(settings.stall_min_ms, settings.stall_max_ms)
     }
 
-    /// Takes in one gap in milliseconds.
+    /// Adds a gap in milliseconds.
     pub fn observe(&mut self, gap: u64) {
         let error = gap as f64 - self.mean;
         self.mean += GAIN * error;
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -1,26 +1,26 @@
-//! Which upstream a relayed request is sent to, and which one keeps a copy of its memory.
+//! Placement: which upstream a relayed request is sent to, and which one keeps a copy of its KV cache.
 
 use super::*;
 
-/// Cost of memory beyond what an upstream has: streams there would be preempted.
+/// Cost per unit of memory beyond an upstream's capacity, where streams would be preempted.
 const OVERCOMMIT_COST: f64 = 50.0;
 
-/// Failures of late from which on an upstream counts as lost with others of its data centre.
+/// Failure score from which on an upstream counts as lost in an outage of its data centre.
 const FAILURE_THRESHOLD: f64 = 0.5;
 
-/// Upstreams of a data centre that must be lost before the others are doubted.
+/// Lost upstreams in a data centre from which on the others are suspected as well.
 const MIN_OUTAGE_UPSTREAMS: u32 = 2;
 
-/// Upstreams that are looked at for a request, at least: with two of them the load of the fullest is mostly
-/// that of the mean and one or two more, and with four one of them has room while three quarters are full.
+/// Minimum number of upstreams sampled for a request. With two, the fullest mostly has one or two requests more than the
+/// mean; with four, one of them has capacity while three quarters of all are full.
 const MIN_SAMPLE: usize = 4;
 
-/// Upstreams of one pool in one data centre that were lost of late.
+/// Recent losses of a pool's upstreams in one data centre.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outage {
     total: u32,
     lost: u32,
-    /// When the first of them was lost.
+    /// Time of the first loss.
     started_at: Option<Time>,
 }
 
@@ -28,8 +28,8 @@
 type Outages = BTreeMap<Arc<str>, Outage>;
 
 impl Outage {
-    /// Part of the data centre's upstreams that were lost, for one of them that was last heard at `heard`; 0 if
-    /// it was heard since.
+    /// Fraction of the data centre's upstreams that were lost, as a penalty for one last heard from at `heard`; 0 if that
+    /// was after the outage began.
     fn lost_share(&self, heard: Time) -> f64 {
         let is_silent = self.started_at.is_some_and(|since| heard < since);
         if self.lost < MIN_OUTAGE_UPSTREAMS || !is_silent {
@@ -40,7 +40,7 @@
 }
 
 impl Core {
-    /// The upstream for a relayed request; `None` if it must wait for one.
+    /// Chooses an upstream for a relayed request; `None` if it must wait.
     pub(crate) fn choose_relay_upstream(&mut self, key: request::Key) -> Option<upstream::Key> {
         if let Some(copy) = &self.requests[key].passage.copy
             && self.may_hold_copy(copy.upstream)
@@ -66,8 +66,8 @@
         self.lowest_cost(key, candidates, &own)
     }
 
-    /// The upstream that keeps a copy of a stream's memory: one in another data centre than the
-    /// stream's own, if there is one, so that both are not lost together.
+    /// Chooses the upstream that keeps a copy of a stream's KV cache, preferably in another data centre than the stream's own,
+    /// so that both are not lost together.
     pub(crate) fn choose_backup(
         &mut self,
         key: request::Key,
@@ -91,15 +91,15 @@
         self.lowest_cost(key, candidates, own)
     }
 
-    /// Whether an upstream may still hold a copy, by all that is known of it.
+    /// Whether an upstream may still hold a copy, as far as is known.
     fn may_hold_copy(&self, key: upstream::Key) -> bool {
         let upstream = self.upstreams.get(key);
         upstream
             .is_some_and(|upstream| upstream.health == Health::Live && upstream.may_serve(self.now))
     }
 
-    /// Upstreams that a relayed request may be sent to: those that take work, else those that are
-    /// only doubted; without the one that failed last if there are others.
+    /// Candidates for a relayed request: live upstreams that can serve, or suspected ones if there is none. Excludes the one
+    /// that failed last, unless it is the only one.
     pub(crate) fn relay_candidates(&self, request: &Request) -> Vec<upstream::Key> {
         let Some(pool) = self.pools.get(request.service.pool()) else {
             return Vec::new();
@@ -145,9 +145,9 @@
         best.map(|(_, upstream)| upstream)
     }
 
-    /// How many of some upstreams, taken at random, a request is placed by. Instances that know the same, such
-    /// as all of them after a restart, would else all choose the same few: of 703 streams that came back within
-    /// two seconds to 295 instances and 320 engines, 16 went to one engine and none to 80 others.
+    /// Number of randomly sampled upstreams among which a request is placed. Otherwise instances with the same knowledge,
+    /// such as all after a restart, would choose the same few: of 703 streams that came back within two seconds to 295 instances
+    /// and 320 engines, 16 went to one engine and none to 80 others.
     fn sample_size(&self, pool: &str, candidates: usize) -> usize {
         let all = self.pools.get(pool).map_or(0, |pool| pool.upstreams.len());
         let fraction = self.settings.place.sample;
@@ -158,7 +158,7 @@
         sample.max(MIN_SAMPLE).min(candidates)
     }
 
-    /// What it costs others and the request itself to go to an upstream.
+    /// Cost of sending a request to an upstream, for the request itself and for others.
     fn cost(&self, key: request::Key, candidate: upstream::Key, usage: Usage) -> f64 {
         let request = &self.requests[key];
         let upstream = &self.upstreams[candidate];
@@ -182,13 +182,13 @@
         cost
     }
 
-    /// How much of the distance counts: all of it but for a plain service that is nearly full.
+    /// Weight of the distance to another data centre: 1, or less for a plain service near its capacity.
     fn distance_weight(&self, pool: &str) -> f64 {
         let pool = self.pools.get(pool);
         pool.map_or(1.0, |pool| pool.demands.nearness())
     }
 
-    /// Upstreams of a pool that were lost of late, by data centre.
+    /// Recent losses of a pool's upstreams by data centre.
     fn outages(&self, pool: &str) -> Outages {
         let mut outages = Outages::new();
         let Some(pool) = self.pools.get(pool) else {
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,18 +1,18 @@
-//! Which upstream a request is sent to.
+//! Routing: which upstream a request is sent to.
 
 use super::*;
 
-/// Load over its slots up to which an upstream takes resumed work when no other has room.
+/// Utilization up to which upstreams take resumed work if none has a free slot.
 const MAX_RESUME_UTILIZATION: f64 = 1.25;
 
-/// Load over its slots beyond which an upstream is not chosen for its cache alone.
+/// Utilization from which on an upstream is not preferred for its prefix cache.
 const MAX_PREFIX_UTILIZATION: f64 = 1.0;
 
-/// Upstreams tried for their cache before others are.
+/// Number of top-ranked upstreams tried for their prefix cache.
 const PREFIX_UPSTREAMS: usize = 2;
 
 impl Core {
-    /// The upstream for a request; `None` if it must wait.
+    /// Chooses an upstream for a request; `None` if it must wait.
     pub(crate) fn choose_upstream(
         &mut self,
         key: request::Key,
@@ -57,7 +57,7 @@
             .collect()
     }
 
-    /// At random, by the share of slots believed free.
+    /// Chooses at random, weighted by the fraction of slots estimated to be free.
     fn by_headroom(&mut self, keys: &[upstream::Key]) -> Option<upstream::Key> {
         let room = |key: &upstream::Key| (1.0 - self.utilization(*key)).max(f64::EPSILON);
         let total: f64 = keys.iter().map(room).sum();
@@ -72,8 +72,8 @@
         keys.last().copied()
     }
 
-    /// The first of those that the prompt's start ranks highest which has room to spare. Every
-    /// instance ranks alike, so a start is computed by few upstreams and found there by all.
+    /// Chooses the first upstream below the utilization limit among those ranked highest for the prompt's prefix. All
+    /// instances rank alike, so a prefix is computed by few upstreams and found in their cache by all.
     fn by_prefix(&self, key: request::Key) -> Option<upstream::Key> {
         let Work::Generate { prefix, .. } = self.requests[key].work else {
             return None;
@@ -86,7 +86,7 @@
             .find(|key| self.utilization(*key) < MAX_PREFIX_UTILIZATION)
     }
 
-    /// Upstreams that may be sent this request: usable, and with room if the way knows room.
+    /// Usable upstreams for a request, limited to those with free slots if the routing policy considers them.
     fn candidates(&self, key: request::Key, resume: bool) -> Vec<upstream::Key> {
         let usable = self.usable(key);
         if !self.settings.routing.knows_room() {
@@ -104,7 +104,7 @@
         free
     }
 
-    /// Work believed to be at an upstream, over its slots.
+    /// Estimated load of an upstream divided by its slots.
     fn utilization(&self, key: upstream::Key) -> f64 {
         let upstream = &self.upstreams[key];
         f64::from(upstream.estimated_load()) / f64::from(upstream.slots())
@@ -118,7 +118,7 @@
         keys.iter().copied().min_by_key(reported)
     }
 
-    /// Of two taken at random, the one believed to have less work.
+    /// Of two upstreams chosen at random, returns the one with the lower estimated utilization.
     fn less_loaded_of_two(&mut self, keys: &[upstream::Key]) -> upstream::Key {
         let first = self.pick_random(keys);
         let second = self.pick_random(keys);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Upstreams of a request's pool that take work and do not have it already.
+    /// Upstreams of the request's pool that accept work and have no attempt of the request yet.
     fn usable(&self, key: request::Key) -> Vec<upstream::Key> {
         if self.now < self.stale_until {
             return Vec::new();
@@ -150,8 +150,7 @@
     }
 }
 
-/// Rank of an upstream for a prompt's start or an instance, by rendezvous hashing; the lowest is
-/// first.
+/// Rank of an upstream for a prompt's prefix or an instance, by rendezvous hashing; the lowest is first.
 pub(crate) fn rendezvous_rank(chooser: u64, upstream: u64) -> u64 {
     let hash = (chooser ^ upstream.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -1,106 +1,106 @@
-//! What instances tell each other of the streams that they relay.
+//! Records of relayed streams that instances exchange.
 
 use super::*;
 
-/// Time after which a sighting that was not renewed is forgotten, in milliseconds; longer than a
-/// stream runs and its caller takes to come back.
+/// Retention time for records that are not renewed, in milliseconds. Exceeds the duration of a stream plus the time until
+/// its caller returns.
 const RETENTION_MS: u64 = 30_000;
 
-/// Time after which a stream that was not told of again no longer counts as running, in
-/// milliseconds: a long answer of a busy engine. The instance that told may be gone.
+/// Time after which a stream without a new record no longer counts as running, in milliseconds: a long response of a busy
+/// engine. The instance that reported it may be gone.
 const RUNNING_MS: u64 = 20_000;
 
-/// Time after which a prompt that another instance told of counts as read where it is not known how fast
-/// engines read, in milliseconds; where instances are many, they do not tell when it was.
+/// Assumed duration of the prefill of another instance's stream if the engines' speed is unknown, in milliseconds.
+/// In large fleets instances do not report the end of a prefill.
 pub(crate) const DEFAULT_PREFILL_MS: u64 = 1_500;
 
-/// Time after which a stream that was told to wait no longer counts, in milliseconds: longer than streams
-/// are mostly let wait. The instance that told may be gone.
+/// Time after which a stream reported as waiting no longer counts, in milliseconds. Exceeds most waiting times. The
+/// instance that reported it may be gone.
 const WAITING_MS: u64 = 5_000;
 
-/// Sightings kept, at most; beyond it the older half of their time goes.
+/// Maximum number of records; beyond it, those in the older half of the retention time are removed.
 const MAX_ENTRIES: usize = 20_000;
 
-/// Upstreams by their lives.
+/// Keys of upstreams by incarnation.
 pub(crate) type UpstreamsByIncarnation = BTreeMap<Life, upstream::Key>;
 
-/// Where a stream stands.
+/// Progress of a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
-    /// It was answered whole.
+    /// Answered completely.
     Ended,
-    /// Its caller went away, or it could not go on; the caller may come back.
+    /// Interrupted by its caller or by a failure; the caller may return.
     Left,
-    /// It was sent to an upstream.
+    /// Sent to an upstream.
     Started,
-    /// Its first event came.
+    /// First event received.
     Streaming,
-    /// It waits for room at its instance.
+    /// Queued at its instance for lack of capacity.
     Waiting,
 }
 
-/// A relayed stream, as instances tell each other of it.
+/// Record of a relayed stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Sighting {
-    /// Upstream that keeps a copy of its memory.
+    /// Upstream that keeps a copy of its KV cache.
     pub backup: Option<Life>,
-    /// Name of the pool that it waits for; empty if it does not wait.
+    /// Name of the pool in whose queue it is; empty unless it is queued.
     pub pool: String,
-    /// Identity of the prompt.
+    /// Hash of the prompt.
     pub prompt: u64,
-    /// Name of the run at its upstreams.
+    /// Request id at its upstreams.
     pub run: String,
-    /// Where it stands.
+    /// Progress.
     pub stage: Stage,
-    /// Tokens of prompt and longest answer.
+    /// Tokens of the prompt and the longest possible response.
     pub tokens: u32,
     /// Upstream that runs it.
     pub upstream: Option<Life>,
 }
 
-/// One stream that was told of.
+/// State kept for one record.
 #[derive(Clone, Debug)]
 struct Entry {
     at: Time,
-    /// Upstream that keeps a copy of its memory, if it is known.
+    /// Upstream that keeps a copy of its KV cache, if known here.
     backup: Option<upstream::Key>,
-    /// When it holds something else.
+    /// When `reservation` may change.
     expires_at: Time,
     reservation: Reservation,
-    /// Whether this instance relays it itself.
+    /// Whether this instance relays the stream itself.
     is_own: bool,
-    /// Time after which its prompt counts as read, in milliseconds.
+    /// Estimated duration of its prefill, in milliseconds.
     prefill_ms: u64,
     sighting: Sighting,
-    /// Upstream that runs it, if it is known.
+    /// Upstream that runs it, if known here.
     upstream: Option<upstream::Key>,
 }
 
-/// What a stream of another instance is believed to hold.
+/// Resources that a stream of another instance is estimated to hold.
 #[derive(Clone, Copy, Debug)]
 enum Reservation {
     Nothing,
-    /// Memory and time of its upstream, and memory of the one that keeps its copy.
+    /// Memory and compute of its upstream, and memory of the upstream with its copy.
     Resources(Usage),
-    /// A place among those that wait for room in its pool.
+    /// Position in the queue of its pool.
     QueueSlot,
 }
 
-/// Streams by the identity of their prompt, and what they hold together. Only what changes is reckoned anew,
-/// so that a decision costs as much with thousands of streams as with few.
+/// Records by hash of the prompt, and the sum of their reservations. Sums are updated incrementally, so that the cost of a
+/// decision does not grow with the number of streams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sightings {
-    /// When streams hold something else, by their prompts.
+    /// When reservations may change, with the hash of the prompt.
     due: BTreeSet<(Time, u64)>,
     entries: HashMap<u64, Entry>,
-    /// What streams of other instances hold of each upstream.
+    /// Usage of each upstream by streams of other instances.
     usages: SecondaryMap<upstream::Key, Usage>,
-    /// Streams of other instances that wait for room in each pool, in the order in which they were told of.
+    /// Queued streams of other instances by pool, in the order of their records.
     waiting: HashMap<String, BTreeSet<(Time, u64)>>,
 }
 
 impl Entry {
-    /// What it holds now, and when that may change.
+    /// Returns its reservation at `now`, and when that may change.
     fn reservation_at(&self, now: Time) -> (Reservation, Time) {
         let age = now.since(self.at);
         let tokens = self.sighting.tokens;
@@ -117,8 +117,8 @@
 }
 
 impl Sightings {
-    /// Notes what another instance told, or what this one tells if it is its `own`. Its prompt counts as read
-    /// after `prefill_ms`.
+    /// Adds a record from another instance, or from this one if `own` is set. The stream's prefill is assumed to take
+    /// `prefill_ms`.
     pub fn add(
         &mut self,
         sighting: Sighting,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Takes in that time has passed: streams hold less, and those told of long ago are forgotten.
+    /// Updates reservations that are due for a change, and removes expired records.
     pub fn advance(&mut self, now: Time) {
         while let Some((at, prompt)) = self.due.first().copied()
             && at <= now
@@ -175,7 +175,7 @@
         }
     }
 
-    /// An upstream is known now of which streams may have been told before.
+    /// Links existing records to an upstream that has become known.
     pub fn resolve(&mut self, life: Life, key: upstream::Key, now: Time) {
         let life = Some(life);
         let affected: Vec<u64> = self
@@ -197,23 +197,23 @@
         }
     }
 
-    /// The last stream of a prompt.
+    /// Last record of a prompt.
     pub fn get(&self, prompt: u64) -> Option<&Sighting> {
         self.entries.get(&prompt).map(|entry| &entry.sighting)
     }
 
-    /// What streams of other instances are believed to use of an upstream.
+    /// Estimated usage of an upstream by streams of other instances.
     pub fn usage(&self, key: upstream::Key) -> Usage {
         self.usages.get(key).copied().unwrap_or_default()
     }
 
-    /// Streams of other instances that are believed to wait for room in a pool, and did so before a time.
+    /// Number of streams of other instances that are estimated to be queued for a pool and were so before a time.
     pub fn waiting(&self, pool: &str, before: Time) -> usize {
         let waiting = self.waiting.get(pool);
         waiting.map_or(0, |waiting| waiting.range(..=(before, u64::MAX)).count())
     }
 
-    /// Reckons anew what a stream holds.
+    /// Recomputes the reservation of a stream.
     fn update(&mut self, prompt: u64, now: Time) {
         self.release(prompt);
         let Some(entry) = self.entries.get_mut(&prompt) else {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Gives back what a stream holds.
+    /// Releases the reservation of a stream.
     fn release(&mut self, prompt: u64) {
         let Some(entry) = self.entries.get_mut(&prompt) else {
             return;
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Forgets the older half, by time.
+    /// Removes records older than half the retention time.
     fn remove_older(&mut self, now: Time) {
         let is_old = |entry: &Entry| now.since(entry.at) >= RETENTION_MS / 2;
         let old: Vec<u64> = self
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,23 +1,22 @@
-//! What is believed to be in use at each upstream: by this instance's own requests, and by those that
-//! other instances told of.
+//! Estimated usage of each upstream, by this instance's requests and by those that other instances reported.
 
 use super::*;
 
-/// What is believed to be in use at an upstream.
+/// Estimated usage of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Usage {
-    /// Prompts that are being read.
+    /// Prompts in prefill.
     pub prefilling: u32,
-    /// Tokens of the requests whose prompts are being read.
+    /// Tokens of the requests in prefill.
     pub prefill_tokens: u32,
-    /// Requests that run or wait.
+    /// Requests running or queued.
     pub running: u32,
-    /// Tokens in memory, copies of other upstreams' streams with them.
+    /// Tokens in memory, including copies of streams of other upstreams.
     pub tokens: u32,
 }
 
 impl Usage {
-    /// What one request uses.
+    /// Usage by one request.
     pub fn new(is_prefilling: bool, tokens: u32) -> Self {
         let counts_prefill = is_prefilling && tokens > 0;
         Self {
@@ -28,7 +27,7 @@
         }
     }
 
-    /// What one request uses at its upstream, and the memory of its copy.
+    /// Splits the usage of one request between its upstream and the one that keeps its copy, which uses memory only.
     pub fn at(
         self,
         upstream: Option<upstream::Key>,
@@ -44,7 +43,7 @@
             .filter_map(|(key, usage)| Some((key?, usage)))
     }
 
-    /// Adds what others use.
+    /// Adds another usage.
     pub fn add(&mut self, other: Self) {
         self.prefilling += other.prefilling;
         self.prefill_tokens += other.prefill_tokens;
@@ -52,7 +51,7 @@
         self.tokens += other.tokens;
     }
 
-    /// Takes out what was added.
+    /// Subtracts a usage that was added before.
     pub fn subtract(&mut self, other: Self) {
         self.prefilling -= other.prefilling;
         self.prefill_tokens -= other.prefill_tokens;
@@ -61,12 +60,12 @@
     }
 }
 
-/// What this instance's own requests use, at every upstream that they use.
+/// Usage by this instance's own requests, by upstream.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnUsage(SecondaryMap<upstream::Key, Usage>);
 
 impl Core {
-    /// What this instance's own requests use now.
+    /// Computes the usage by this instance's own requests.
     pub(crate) fn own_usage(&self) -> OwnUsage {
         let mut own = OwnUsage::default();
         for attempt in self.attempts.values() {
@@ -83,7 +82,7 @@
         own
     }
 
-    /// What is believed to be in use at an upstream, by this instance and others.
+    /// Estimated usage of an upstream by this instance and others.
     pub(crate) fn usage(&self, own: &OwnUsage, key: upstream::Key) -> Usage {
         let mut usage = self.sightings.usage(key);
         usage.add(own.0.get(key).copied().unwrap_or_default());
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -1,15 +1,15 @@
-//! Which of a pool's upstreams are given work where they are of several versions.
+//! Selection of the active version in pools whose upstreams run several versions.
 //!
-//! The load that it answers: upstreams of a new version enter beside those of the one in force, in the same list, minutes before
-//! anybody may send them work, and some versions fail or are many times slower. Without a bound they have their full part of all
-//! requests from their first entry on.
+//! Upstreams of a new version are listed beside the active ones minutes before they may receive work, and some versions
+//! fail or are many times slower. Without this check they would get their full share of the requests as soon as they are
+//! listed.
 
 use super::*;
 
 impl Core {
-    /// Settles which upstreams are held back: those of another version than the one in force, while one of that stays. The version
-    /// in force is that of the upstream that was entered first, and stays so while the instance runs: crashed upstreams come back
-    /// as the youngest.
+    /// Holds back upstreams whose version is not the active one, as long as one with the active version stays. The active
+    /// version is that of the upstream registered first, and does not change while the instance runs: crashed upstreams come
+    /// back as the last registered.
     pub(crate) fn update_held(&mut self) {
         let mut changed = Vec::new();
         for pool in self.pools.values_mut() {
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -1,29 +1,29 @@
-//! Watching upstreams: the list, leaving, load reports, probes, silence and deadlines.
+//! Monitoring of upstreams: the platform's list, shutdown, load reports, probes, stalls and deadlines.
 
 use super::*;
 
-/// Age of a load report that comes along with tokens, in milliseconds.
+/// Age of a load report that arrives along with tokens, in milliseconds.
 const PIGGYBACKED_LAG_MS: u64 = 5;
 
-/// Length of a pause after which the list is not trusted, in milliseconds.
+/// Length of a pause of this instance after which its list counts as outdated, in milliseconds.
 const LIST_STALE_MS: u64 = 2_000;
 
-/// Time for which a list that can not be read again is waited for, in milliseconds.
+/// Time to wait for a fresh list after such a pause, in milliseconds.
 const LIST_WAIT_MS: u64 = 3_000;
 
-/// Time between two looks at deadlines, in milliseconds.
+/// Interval of the checks for expired requests, in milliseconds.
 const EXPIRY_CHECK_MS: u64 = 50;
 
-/// What an entry of the list stands for.
+/// Upstream of a list entry.
 struct ListedUpstream {
-    /// The life that was known under the name before, if it is another one.
+    /// Previous incarnation under the same name, if the entry replaces one.
     predecessor: Option<upstream::Key>,
-    /// The upstream.
+    /// Current incarnation.
     key: upstream::Key,
 }
 
 impl Core {
-    /// Takes in a load report that came along with tokens; the next one need not be asked for.
+    /// Applies a load report that came along with tokens, and postpones the next probe.
     pub(crate) fn apply_piggybacked_load(&mut self, attempt: attempt::Key, load: Load) {
         let Some(attempt) = self.attempts.get(attempt) else {
             return;
@@ -31,14 +31,14 @@
         self.apply_upstream_load(attempt.upstream, load);
     }
 
-    /// The same, by an upstream.
+    /// Applies a load report that an upstream sent along with a response, and postpones the next probe.
     pub(crate) fn apply_upstream_load(&mut self, key: upstream::Key, load: Load) {
         let next = self.now.after(self.settings.load_ms);
         self.upstreams[key].next_probe = next;
         self.apply_load(key, load, PIGGYBACKED_LAG_MS);
     }
 
-    /// Something about an upstream went wrong: it is suspected and probed at once.
+    /// Marks a live upstream as suspected after a failure, and probes it at once.
     pub(crate) fn mark_suspected(&mut self, key: upstream::Key) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
@@ -55,14 +55,14 @@
         }
     }
 
-    /// A word that an upstream is leaving, which the platform's list may not say yet.
+    /// Handles a hint that an upstream is leaving, which the platform's list may not show yet.
     pub(crate) fn apply_leaving_hint(&mut self, name: &str) {
         if let Some(key) = self.upstream_by_name(Life::new(name, 0)) {
             self.mark_leaving(key);
         }
     }
 
-    /// Gives an upstream no new work for a while, whatever the platform's list says, and has others told.
+    /// Gives an upstream no new work for a while, whatever the platform's list says, and tells the peers.
     pub(crate) fn mark_leaving(&mut self, key: upstream::Key) {
         if self.set_leaving_hint(key) {
             let upstream = &self.upstreams[key];
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Gives an upstream no new work for a while, whatever the platform's list says; whether that is news.
+    /// Gives an upstream no new work for a while, whatever the platform's list says; returns whether it was not leaving
+    /// before.
     pub(crate) fn set_leaving_hint(&mut self, key: upstream::Key) -> bool {
         let until = self.now.after(self.settings.leaving_hint_ms);
         let Some(upstream) = self.upstreams.get_mut(key) else {
@@ -87,7 +88,7 @@
         is_new
     }
 
-    /// Takes in the platform's list: new upstreams, those that leave, and those that are gone.
+    /// Applies the platform's list: adds new upstreams, and marks or removes those that are leaving or gone.
     pub(crate) fn apply_list(&mut self, asked: Time, listed: Option<&[event::Listed]>) {
         if asked >= self.woken {
             self.stale_until = Time::default();
@@ -126,7 +127,7 @@
         if has_new {
             self.resolve_address_conflicts();
         }
-        // What they ran goes on elsewhere, which only the whole list tells.
+        // Their work is retried elsewhere, which requires that the whole list has been applied.
         for predecessor in predecessors {
             self.remove_restarted(predecessor);
         }
@@ -137,7 +138,7 @@
         self.pump_all();
     }
 
-    /// A probe was answered or failed.
+    /// Handles the result of a probe.
     pub(crate) fn apply_probe_result(&mut self, key: upstream::Key, alive: bool) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// An upstream refused work: it is believed full until its next report.
+    /// Assumes that an upstream which refused work is full until its next load report.
     pub(crate) fn mark_full(&mut self, key: upstream::Key) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
@@ -170,12 +171,12 @@
         upstream.next_probe = self.now;
     }
 
-    /// Takes in a load report that was asked for.
+    /// Applies the load report in the response to a probe.
     pub(crate) fn apply_load_report(&mut self, upstream: upstream::Key, load: Load) {
         self.apply_load(upstream, load, self.settings.report_lag_ms);
     }
 
-    /// Time passed.
+    /// Performs all time-dependent work.
     pub(crate) fn tick(&mut self) {
         let keys: Vec<upstream::Key> = self.upstreams.keys().collect();
         for key in &keys {
@@ -199,8 +200,8 @@
         self.pump_all();
     }
 
-    /// Marks the upstreams of each pool that this instance works with: those that its identity
-    /// ranks first among those that live and stay. Those it leaves finish what they have.
+    /// Selects this instance's subset of each pool: the upstreams that its identity ranks first among those that are neither
+    /// lost, leaving nor held back. Upstreams that drop out finish their work.
     fn choose_subsets(&mut self) {
         let count = self.settings.subset;
         if count == 0 {
@@ -235,7 +236,7 @@
         self.retained_states.keep(&upstream, self.now);
     }
 
-    /// The upstream that is known under the name of a life, which may be another life.
+    /// The known upstream with the same name, which may be another incarnation.
     fn upstream_by_name(&self, life: Life) -> Option<upstream::Key> {
         self.lives
             .range(life.namesakes())
@@ -243,8 +244,8 @@
             .map(|(_, key)| *key)
     }
 
-    /// An upstream started again under its name: what ran there is gone, and nothing of it is believed any more. Had a
-    /// silent link kept an attempt waiting, its caller would get no answer before its deadline.
+    /// Removes the former incarnation of a restarted upstream and retries its work at once. With a silent link, callers
+    /// would otherwise get no response before their deadline.
     fn remove_restarted(&mut self, key: upstream::Key) {
         self.log_belief(key, effect::Belief::Restarted);
         self.confirm_crash(self.upstreams[key].life);
@@ -254,7 +255,7 @@
         self.remove_upstream(key);
     }
 
-    /// The upstream of a list entry, made if it is new. Another birth or another address is another upstream.
+    /// Returns the upstream of a list entry, and adds it if it is new. Another start time or address means another upstream.
     fn upsert_listed(&mut self, entry: &event::Listed) -> ListedUpstream {
         let life = entry.life();
         let known = self.upstream_by_name(life);
@@ -321,9 +322,9 @@
         ListedUpstream { predecessor, key }
     }
 
-    /// Of upstreams at one address only the one that was entered last is there. An entry for a service that the
-    /// configuration in force does not name takes nobody's place: it is another writer's, or its configuration comes
-    /// yet, and then this is looked at again.
+    /// Marks all but the last registered of the upstreams at one address as replaced. Entries for services that the active
+    /// configuration does not contain replace none: they belong to another writer, or their configuration is yet to arrive,
+    /// and then this check is repeated.
     pub(crate) fn resolve_address_conflicts(&mut self) {
         let Some(config) = &self.config else {
             return;
@@ -350,7 +351,7 @@
         }
     }
 
-    /// Another upstream has the address of this one.
+    /// Marks an upstream whose address another one has taken over as lost.
     pub(crate) fn mark_replaced(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         if upstream.health == Health::Lost {
@@ -363,7 +364,7 @@
         self.confirm_crash(life);
     }
 
-    /// Gives up on an upstream and on everything that it runs.
+    /// Marks an upstream as lost, and abandons all its attempts.
     fn mark_lost(&mut self, key: upstream::Key) {
         if self.upstreams[key].health == Health::Lost && self.upstreams[key].attempts.is_empty() {
             return;
@@ -403,7 +404,7 @@
         }
     }
 
-    /// Ends requests whose time is over.
+    /// Fails requests whose deadline or waiting time has expired.
     fn expire_requests(&mut self) {
         let now = self.now;
         let expired: Vec<request::Key> = self
@@ -416,7 +417,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in expired {
-            // A relayed request is refused long before its deadline, while coming back can help.
+            // A relayed request is refused long before its deadline, while a retry by the caller can still help.
             let request = &self.requests[key];
             let unsent = match request.work {
                 Work::Relay(_) if self.reachable(request.service.pool()) => Kind::Overloaded,
@@ -427,9 +428,9 @@
         }
     }
 
-    /// This instance was paused: what it did not hear in the meantime says nothing of others. After
-    /// a long pause its list may name upstreams that have left since; it sends nothing until it has
-    /// read the list again, or that fails for a while.
+    /// Handles a pause of this instance, such as a suspended process: silence in that time says nothing about others. After
+    /// a long pause the list may contain upstreams that have left, so nothing is sent until it was read again or that has
+    /// failed for a while.
     pub(crate) fn resume_after_pause(&mut self, gap_ms: u64) {
         self.count(Counter::Paused);
         self.woken = self.now;
@@ -446,7 +447,7 @@
         }
     }
 
-    /// Takes in a load report whose content is `lag_ms` milliseconds old.
+    /// Applies a load report that is `lag_ms` milliseconds old.
     fn apply_load(&mut self, key: upstream::Key, load: Load, lag_ms: u64) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
@@ -460,7 +461,7 @@
         self.pump(&pool);
     }
 
-    /// A doubted upstream that is not probed is tried again after a while.
+    /// Returns a suspected upstream to service after a while, if upstreams are not probed.
     fn expire_suspected(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         if upstream.health == Health::Suspected && self.now >= upstream.suspected_until {
@@ -469,7 +470,7 @@
         }
     }
 
-    /// Logs what is believed of an upstream from now on.
+    /// Logs a changed belief about an upstream.
     pub(crate) fn log_belief(&mut self, key: upstream::Key, belief: effect::Belief) {
         let upstream = &self.upstreams[key];
         self.effects.push(Effect::Believe {
@@ -495,7 +496,7 @@
         }
     }
 
-    /// Whether an upstream has been silent for `probe_ms` although it has work of this instance.
+    /// Whether an upstream with work of this instance has been silent for `probe_ms`.
     fn is_overdue(&self, key: upstream::Key) -> bool {
         let upstream = &self.upstreams[key];
         let silent =
@@ -503,7 +504,7 @@
         !upstream.attempts.is_empty() && silent
     }
 
-    /// Looks for streams of an upstream that are silent too long.
+    /// Checks the streams of an upstream for stalls.
     fn check_streams(&mut self, key: upstream::Key) {
         let upstream = &self.upstreams[key];
         if upstream.attempts.is_empty() {
