--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -31,10 +31,10 @@
 /// Rate limit in the headers of a response.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Limit {
-    /// None: the upstream takes any number of requests.
-    None,
     /// Not a decimal number.
     Malformed,
+    /// None: the upstream takes any number of requests.
+    None,
     /// Limit on the requests from all instances together.
     Rate(Rate),
     /// The response says nothing about the upstream that was asked.
@@ -45,32 +45,32 @@
 /// This instance's share of an upstream's rate limit, as a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    /// When `permits` was computed; in the future for a share that starts later.
-    refilled_at: Time,
-    /// Refill rate; 0 if other instances hold the shares.
-    refill_per_ms: f64,
+    /// When this or another instance last told its peers.
+    announced_at: Time,
     /// When a response last confirmed the limit here; initially, when it became known.
     confirmed_at: Time,
     /// Available permits, from 0 to 1.
     permits: f64,
-    rate: Rate,
     /// When to probe whether the limit still applies.
     probe_due: Time,
-    /// When this or another instance last told its peers.
-    announced_at: Time,
+    rate: Rate,
+    /// Refill rate; 0 if other instances hold the shares.
+    refill_per_ms: f64,
+    /// When `permits` was computed; in the future for a share that starts later.
+    refilled_at: Time,
 }
 
 impl TokenBucket {
     /// Creates an empty bucket for a newly announced limit.
     fn new(rate: Rate, now: Time) -> Self {
         Self {
-            refilled_at: now,
-            refill_per_ms: 0.0,
+            announced_at: Time::default(),
             confirmed_at: now,
             permits: 0.0,
             probe_due: now,
             rate,
-            announced_at: Time::default(),
+            refill_per_ms: 0.0,
+            refilled_at: now,
         }
     }
 
@@ -151,7 +151,7 @@
     /// Parses a decimal number of requests per second.
     pub fn parse(text: &str) -> Self {
         // The cast saturates, so larger numbers become the maximum.
-        notice::decimal(text).map_or(Self::Malformed, |rate| {
+        notice::parse_decimal(text).map_or(Self::Malformed, |rate| {
             Self::Rate(Rate((rate * RATE_SCALE) as u64))
         })
     }
@@ -172,8 +172,8 @@
     /// Applies the rate limit from the headers of a response, or its absence.
     pub(crate) fn apply_limit(&mut self, key: upstream::Key, attempt: attempt::Key, limit: Limit) {
         match limit {
-            Limit::None => self.apply_no_limit(key, attempt),
             Limit::Malformed => self.count(Counter::NoticeOdd),
+            Limit::None => self.apply_no_limit(key, attempt),
             Limit::Rate(rate) => {
                 self.count(Counter::NoticeLimit);
                 self.apply_own_limit(key, rate);
@@ -232,7 +232,7 @@
     /// Enforces a limit from now on; returns whether it differs from the previous one.
     pub(crate) fn set_limit(&mut self, key: upstream::Key, rate: Rate) -> bool {
         let now = self.now;
-        let spread = self.rng.random_range(0..UNCONFIRMED_MS);
+        let jitter = self.rng.random_range(0..UNCONFIRMED_MS);
         let upstream = &mut self.upstreams[key];
         let is_changed = upstream
             .limit_bucket
@@ -240,7 +240,7 @@
         let bucket = upstream
             .limit_bucket
             .get_or_insert_with(|| TokenBucket::new(rate, now));
-        bucket.probe_due = now.after(UNCONFIRMED_MS + spread);
+        bucket.probe_due = now.after(UNCONFIRMED_MS + jitter);
         if is_changed {
             self.update_share(key, rate);
             self.log_belief(key, effect::Belief::Limited);
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -25,14 +25,14 @@
 /// State of an upstream as announced in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
+    /// Back-off requested from this instance.
+    pub backoff: Backoff,
     /// Whether it is shutting down.
     pub leaving: bool,
     /// Rate limit over all instances.
     pub limit: Limit,
     /// Load report; `None` if the response has none.
     pub load: Option<Load>,
-    /// Back-off requested from this instance.
-    pub backoff: Backoff,
 }
 
 /// Time for which an upstream wants no requests from the instance that it answers.
@@ -40,22 +40,22 @@
 pub enum Backoff {
     /// Milliseconds.
     For(u64),
+    /// Not a valid number of seconds.
+    Malformed,
     /// No back-off requested.
     #[default]
     None,
-    /// Not a valid number of seconds.
-    Malformed,
 }
 
 /// State announced by one incarnation of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct DeclaredState {
+    /// Until when this instance sends it no requests.
+    pub backoff_until: Time,
     /// Whether it is shutting down; final for the incarnation.
     pub leaving: bool,
     /// Rate limit over all instances; `None` if it announces none.
     pub limit: Option<Rate>,
-    /// Until when this instance sends it no requests.
-    pub backoff_until: Time,
 }
 
 /// Announced state of upstreams that are no longer listed.
@@ -80,14 +80,14 @@
     /// Parses a number of seconds, which may have a fraction.
     pub fn parse(text: &str) -> Self {
         // The cast saturates, so larger numbers become the maximum.
-        decimal(text).map_or(Self::Malformed, |seconds| {
+        parse_decimal(text).map_or(Self::Malformed, |seconds| {
             Self::For((seconds * 1_000.0).ceil() as u64)
         })
     }
 }
 
 /// Parses digits with an optional fraction; no sign, exponent or unit.
-pub(crate) fn decimal(text: &str) -> Option<f64> {
+pub(crate) fn parse_decimal(text: &str) -> Option<f64> {
     let text = text.trim();
     let is_plain = |byte: u8| byte.is_ascii_digit() || byte == b'.';
     let number = text.parse::<f64>().ok();
@@ -143,8 +143,8 @@
         self.apply_limit(key, attempt, notice.limit);
         match notice.backoff {
             Backoff::For(millis) => self.back_off(key, millis),
-            Backoff::None => {}
             Backoff::Malformed => self.count(Counter::NoticeOdd),
+            Backoff::None => {}
         }
     }
 
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -18,10 +18,10 @@
 /// Recent losses of a pool's upstreams in one data centre.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outage {
-    total: u32,
     lost: u32,
     /// Time of the first loss.
     started_at: Option<Time>,
+    total: u32,
 }
 
 /// Outages by data centre.
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -46,10 +46,6 @@
         }
     }
 
-    fn pick_random(&mut self, keys: &[upstream::Key]) -> upstream::Key {
-        keys[self.rng.random_range(0..keys.len())]
-    }
-
     fn below_utilization(&self, keys: &[upstream::Key], limit: f64) -> Vec<upstream::Key> {
         keys.iter()
             .copied()
@@ -104,12 +100,6 @@
         free
     }
 
-    /// Estimated load of an upstream divided by its slots.
-    fn utilization(&self, key: upstream::Key) -> f64 {
-        let upstream = &self.upstreams[key];
-        f64::from(upstream.estimated_load()) / f64::from(upstream.slots())
-    }
-
     fn least_reported_load(&self, keys: &[upstream::Key]) -> Option<upstream::Key> {
         let reported = |key: &upstream::Key| {
             let upstream = &self.upstreams[*key];
@@ -129,6 +119,10 @@
         }
     }
 
+    fn pick_random(&mut self, keys: &[upstream::Key]) -> upstream::Key {
+        keys[self.rng.random_range(0..keys.len())]
+    }
+
     /// Upstreams of the request's pool that accept work and have no attempt of the request yet.
     fn usable(&self, key: request::Key) -> Vec<upstream::Key> {
         if self.now < self.stale_until {
@@ -148,6 +142,12 @@
             .filter(|key| self.upstreams[*key].accepts_work(self.now) && !has_attempt(key))
             .collect()
     }
+
+    /// Estimated load of an upstream divided by its slots.
+    fn utilization(&self, key: upstream::Key) -> f64 {
+        let upstream = &self.upstreams[key];
+        f64::from(upstream.estimated_load()) / f64::from(upstream.slots())
+    }
 }
 
 /// Rank of an upstream for a prompt's prefix or an instance, by rendezvous hashing; the lowest is first.
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -66,11 +66,11 @@
     backup: Option<upstream::Key>,
     /// When `reservation` may change.
     expires_at: Time,
-    reservation: Reservation,
     /// Whether this instance relays the stream itself.
     is_own: bool,
     /// Estimated duration of its prefill, in milliseconds.
     prefill_ms: u64,
+    reservation: Reservation,
     sighting: Sighting,
     /// Upstream that runs it, if known here.
     upstream: Option<upstream::Key>,
@@ -80,10 +80,10 @@
 #[derive(Clone, Copy, Debug)]
 enum Reservation {
     Nothing,
-    /// Memory and compute of its upstream, and memory of the upstream with its copy.
-    Resources(Usage),
     /// Position in the queue of its pool.
     QueueSlot,
+    /// Memory and compute of its upstream, and memory of the upstream with its copy.
+    Resources(Usage),
 }
 
 /// Records by hash of the prompt, and the sum of their reservations. Sums are updated incrementally, so that the cost of a
@@ -148,9 +148,9 @@
                     at: now,
                     backup: find(sighting.backup),
                     expires_at: now,
-                    reservation: Reservation::Nothing,
                     is_own,
                     prefill_ms: prefill_ms.min(RUNNING_MS),
+                    reservation: Reservation::Nothing,
                     upstream: find(sighting.upstream),
                     sighting,
                 };
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -81,58 +81,58 @@
     pub address: SocketAddr,
     /// This instance's attempts in progress.
     pub attempts: Vec<attempt::Key>,
-    /// Starts minus ends of this instance's attempts that the last load report does not include.
-    pub unreported: i64,
-    /// Whether it is in this instance's subset of the pool; always true without subsetting.
-    pub in_subset: bool,
     /// Data centre that it runs in.
     pub data_centre: Arc<str>,
-    /// Until when it stays suspected, if upstreams are not probed.
-    pub suspected_until: Time,
+    /// State announced in its response headers.
+    pub declared: notice::DeclaredState,
     /// Statistics of the gaps between its tokens.
     pub detector: StallDetector,
-    /// Health as seen by this instance.
-    pub health: Health,
+    /// Recent failures.
+    pub failure_score: FailureScore,
     /// Until when it is assumed to have no capacity, after it refused a request.
     pub full_until: Time,
-    /// When anything was last received from it.
-    pub last_heard: Time,
+    /// Health as seen by this instance.
+    pub health: Health,
     /// Whether it gets no work because its version is not the active one.
     pub held: bool,
-    /// Its incarnation.
-    pub life: Life,
+    /// Whether it is in this instance's subset of the pool; always true without subsetting.
+    pub in_subset: bool,
+    /// When anything was last received from it.
+    pub last_heard: Time,
+    /// When the last probe was sent.
+    pub last_probe: Time,
     /// Whether the platform's list marks it as leaving or no longer contains it.
     pub leaving: bool,
     /// Until when an earlier hint that it is leaving overrides the list.
     pub leaving_until: Time,
+    /// Its incarnation.
+    pub life: Life,
+    /// This instance's share of the rate limit; `None` without a limit.
+    pub limit_bucket: Option<limit::TokenBucket>,
     /// Maximum number of concurrent requests by the platform's list; 0 if unknown.
     pub listed_slots: u32,
     /// Last load report.
     pub load: Load,
     /// Unique name in the platform's list.
     pub name: Arc<str>,
-    /// This instance's share of the rate limit; `None` without a limit.
-    pub limit_bucket: Option<limit::TokenBucket>,
-    /// Pool in the platform's list.
-    pub pool: Arc<str>,
     /// Time of the next probe.
     pub next_probe: Time,
-    /// When the last probe was sent.
-    pub last_probe: Time,
+    /// Pool in the platform's list.
+    pub pool: Arc<str>,
     /// When the pending probe was sent; `None` if none is pending.
     pub probe_sent: Option<Time>,
+    /// Recent load changes, oldest first, some of which a load report may include.
+    pub recent_changes: VecDeque<LoadChange>,
     /// Position in the order of registration; the lowest if unknown.
     pub registered_at: Position,
-    /// Recent average duration of calls from all instances, in milliseconds; 0 if unknown.
+    /// Until when it stays suspected, if upstreams are not probed.
+    pub suspected_until: Time,
+    /// Recent duration of calls from all instances, in milliseconds; 0 if unknown.
     pub takes_ms: f64,
-    /// Recent failures.
-    pub failure_score: FailureScore,
-    /// State announced in its response headers.
-    pub declared: notice::DeclaredState,
+    /// Starts minus ends of this instance's attempts that the last load report does not include.
+    pub unreported: i64,
     /// Software version; empty if it does not state one.
     pub version: Arc<str>,
-    /// Recent load changes, oldest first, some of which a load report may include.
-    pub recent_changes: VecDeque<LoadChange>,
 }
 
 impl Upstream {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -5,10 +5,10 @@
 /// Estimated usage of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Usage {
-    /// Prompts in prefill.
-    pub prefilling: u32,
     /// Tokens of the requests in prefill.
     pub prefill_tokens: u32,
+    /// Prompts in prefill.
+    pub prefilling: u32,
     /// Requests running or queued.
     pub running: u32,
     /// Tokens in memory, including copies of streams of other upstreams.
@@ -20,8 +20,8 @@
     pub fn new(is_prefilling: bool, tokens: u32) -> Self {
         let counts_prefill = is_prefilling && tokens > 0;
         Self {
-            prefilling: u32::from(counts_prefill),
             prefill_tokens: if counts_prefill { tokens } else { 0 },
+            prefilling: u32::from(counts_prefill),
             running: 1,
             tokens,
         }
@@ -45,16 +45,16 @@
 
     /// Adds another usage.
     pub fn add(&mut self, other: Self) {
-        self.prefilling += other.prefilling;
         self.prefill_tokens += other.prefill_tokens;
+        self.prefilling += other.prefilling;
         self.running += other.running;
         self.tokens += other.tokens;
     }
 
     /// Subtracts a usage that was added before.
     pub fn subtract(&mut self, other: Self) {
-        self.prefilling -= other.prefilling;
         self.prefill_tokens -= other.prefill_tokens;
+        self.prefilling -= other.prefilling;
         self.running -= other.running;
         self.tokens -= other.tokens;
     }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -16,10 +16,10 @@
 
 /// Upstream of a list entry.
 struct ListedUpstream {
-    /// Previous incarnation under the same name, if the entry replaces one.
-    predecessor: Option<upstream::Key>,
     /// Current incarnation.
     key: upstream::Key,
+    /// Previous incarnation under the same name, if the entry replaces one.
+    predecessor: Option<upstream::Key>,
 }
 
 impl Core {
@@ -285,31 +285,31 @@
         let key = self.upstreams.insert(Upstream {
             address: entry.address,
             attempts: Vec::new(),
-            unreported: 0,
-            in_subset: true,
             data_centre: entry.data_centre.as_str().into(),
+            declared: self.retained_states.take(life, entry.address),
             detector: StallDetector::default(),
-            suspected_until: Time::default(),
+            failure_score: upstream::FailureScore::default(),
             full_until: Time::default(),
             health: Health::Live,
-            last_heard: self.now,
             held: false,
+            in_subset: true,
+            last_heard: self.now,
+            last_probe: Time::default(),
             leaving: entry.leaving,
             leaving_until: Time::default(),
             life,
+            limit_bucket: None,
             listed_slots: entry.slots,
             load: Load::default(),
             name: name.clone(),
-            limit_bucket: None,
-            pool: pool.clone(),
             next_probe: self.now,
-            last_probe: Time::default(),
+            pool: pool.clone(),
             probe_sent: None,
             recent_changes: VecDeque::new(),
             registered_at: entry.since,
-            declared: self.retained_states.take(life, entry.address),
+            suspected_until: Time::default(),
             takes_ms: 0.0,
-            failure_score: upstream::FailureScore::default(),
+            unreported: 0,
             version: entry.version.as_str().into(),
         });
         self.sightings.resolve(life, key, self.now);
