--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -44,9 +44,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashSuspects {
     account: Account,
-    guilty: BTreeMap<Print, BTreeSet<Life>>,
     held: Vec<Held>,
     pending: HashMap<Life, Pending>,
+    quarantined: BTreeMap<Print, BTreeSet<Life>>,
     /// Crashes that this instance observed itself.
     witnessed: BTreeSet<Life>,
 }
@@ -58,9 +58,9 @@
     }
 
     /// Quarantined requests for which this instance observed at least one of the crashes.
-    fn witnessed_guilty(&self) -> BTreeSet<Print> {
+    fn witnessed_quarantined(&self) -> BTreeSet<Print> {
         let own = self
-            .guilty
+            .quarantined
             .iter()
             .filter(|(_, lives)| self.has_witnessed(lives));
         own.map(|(print, _)| *print).collect()
@@ -87,7 +87,7 @@
 impl Core {
     /// Whether a request is refused because it crashes its upstreams.
     pub(crate) fn is_quarantined(&self, print: Print) -> bool {
-        self.crash_suspects.guilty.contains_key(&print)
+        self.crash_suspects.quarantined.contains_key(&print)
     }
 
     /// Whether a request was at an upstream that crashed, or may have.
@@ -97,7 +97,7 @@
 
     /// Requests that are refused at present.
     pub fn quarantined(&self) -> impl Iterator<Item = Print> {
-        self.crash_suspects.guilty.keys().copied()
+        self.crash_suspects.quarantined.keys().copied()
     }
 
     /// Unplanned ends of upstreams that this instance knows of.
@@ -159,14 +159,11 @@
     }
 
     fn record_crash(&mut self, life: Life, requests: &BTreeMap<Print, quarantine::Part>) {
+        let (now, account) = (self.now, &mut self.crash_suspects.account);
         let mut news = Account::default();
         for (print, part) in requests {
-            if self
-                .crash_suspects
-                .account
-                .add(life, *print, *part, self.now)
-            {
-                news.add(life, *print, *part, self.now);
+            if account.add(life, *print, *part, now) {
+                news.add(life, *print, *part, now);
             }
         }
         self.crash_suspects.witnessed.insert(life);
@@ -210,21 +207,21 @@
 
     /// Recomputes the set of quarantined requests from all known crashes, and refuses those that are new in it.
     fn update_quarantine(&mut self) {
-        let own = self.crash_suspects.witnessed_guilty();
+        let own = self.crash_suspects.witnessed_quarantined();
         let suspects = &mut self.crash_suspects;
         let rule = self.settings.quarantine;
         suspects.account.trim(rule, self.now);
         let account = &suspects.account;
         suspects.witnessed.retain(|life| account.has(*life));
-        let before = std::mem::replace(&mut suspects.guilty, account.guilty(rule));
-        let found: Vec<Print> = suspects.guilty.keys().copied().collect();
+        let before = std::mem::replace(&mut suspects.quarantined, account.guilty(rule));
+        let found: Vec<Print> = suspects.quarantined.keys().copied().collect();
         let found = found
             .into_iter()
             .filter(|print| !before.contains_key(print));
         for print in found.collect::<Vec<Print>>() {
             self.quarantine(print);
         }
-        let released = |print: &&Print| !self.crash_suspects.guilty.contains_key(print);
+        let released = |print: &&Print| !self.crash_suspects.quarantined.contains_key(print);
         let released: Vec<Print> = before.keys().filter(released).copied().collect();
         for print in released {
             // Only an instance that stored the entry deletes it; otherwise hundreds would write when one expires.
@@ -239,7 +236,7 @@
     fn quarantine(&mut self, print: Print) {
         self.count(Counter::Quarantined);
         let suspects = &self.crash_suspects;
-        let own = suspects.has_witnessed(&suspects.guilty[&print]);
+        let own = suspects.has_witnessed(&suspects.quarantined[&print]);
         let ends = suspects.account.of(print);
         self.push_quarantine_effect(effect::Quarantine::Refuse { ends, own, print });
         let affected: Vec<request::Key> = self
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -1,21 +1,21 @@
-//! A core with routes for relayed requests, and what it was told.
+//! Test harness: a core with routes for relayed requests, and its recorded effects.
 
 use super::*;
 
 pub const NOW: Time = Time(1_800_000_000_000);
 
-/// Path of a stream that may be resumed.
+/// Path of a resumable stream.
 pub const STREAM: &str = "/stream/1";
 
-/// Path of calls that may be repeated.
+/// Path of a service whose calls are repeatable.
 pub const REPEATABLE: &str = "/again/1";
 
-/// Path of calls that may run once.
+/// Path of a service whose calls may run only once.
 pub const NON_REPEATABLE: &str = "/once/1";
 
-/// A core with routes, and what it was told.
+/// A core under test, with the effects that it has returned.
 pub struct Test {
-    /// What tells the bodies of requests apart.
+    /// Stands for the request body: requests with different values have different fingerprints.
     pub body: u64,
     pub core: Core,
     pub effects: Vec<Effect>,
@@ -23,21 +23,21 @@
     pub now: Time,
 }
 
-/// What was sent for an attempt.
+/// One request sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub attempt: attempt::Key,
     pub backup: Option<usize>,
     pub copy: Option<String>,
     pub left_ms: u64,
-    /// The upstream, as the core knows it.
+    /// Key of the upstream in the core.
     pub key: upstream::Key,
     pub position: u64,
     pub upstream: usize,
 }
 
 impl Test {
-    /// A core with a configuration and upstreams, three of them in each data centre.
+    /// Creates a core with a configuration and upstreams, three in each data centre.
     pub fn new(upstreams: usize) -> Self {
         Self::without_configuration().configured(upstreams)
     }
@@ -48,7 +48,7 @@
         self
     }
 
-    /// The same core, still to be told of the streams that were kept before its start.
+    /// Makes the core wait for the records of streams from before its start.
     pub fn recalling(mut self) -> Self {
         self.core = self.core.recalling();
         self
@@ -58,7 +58,7 @@
         Self::with(Resume::Copy)
     }
 
-    /// A core without a configuration whose lost streams go on in one way.
+    /// Creates a core without a configuration that resumes lost streams in the given way.
     pub fn with(relay_resume: Resume) -> Self {
         Self::set(Settings {
             relay_resume,
@@ -66,12 +66,12 @@
         })
     }
 
-    /// A core without a configuration, with some settings.
+    /// Creates a core without a configuration, with the given settings.
     pub fn set(settings: Settings) -> Self {
         Self::build(settings, 1)
     }
 
-    /// A core with one upstream, whose random choices are those of a seed.
+    /// Creates a core with one upstream and a seed for its random choices.
     pub fn seeded(seed: u64) -> Self {
         Self::build(Settings::default(), seed).configured(1)
     }
@@ -91,12 +91,12 @@
         self.request_as("key", path, 0)
     }
 
-    /// Asks with a key, behind the event that the caller has.
+    /// Submits a request with an API key; `position` is that of the last event that the caller has.
     pub fn request_as(&mut self, key: &str, path: &str, position: u64) -> Caller {
         self.request_within(20_000, key, path, position)
     }
 
-    /// Asks with so much patience, in milliseconds.
+    /// Submits a request with a caller timeout in milliseconds.
     pub fn request_within(
         &mut self,
         patience: u64,
@@ -108,7 +108,7 @@
         self.submit(patience, key, path, position, tokens)
     }
 
-    /// Asks for so many tokens; 0 does not say.
+    /// Submits a request that states its tokens; 0 for not stated.
     pub fn request_of_size(&mut self, tokens: u32, path: &str) -> Caller {
         self.submit(20_000, "key", path, 0, tokens)
     }
@@ -147,7 +147,7 @@
         caller
     }
 
-    /// Has a stream sent and its first events passed on.
+    /// Starts a stream and delivers its first events.
     pub fn stream(&mut self, events: u64) -> Sent {
         self.request(STREAM);
         let sent = self.last_sent();
@@ -178,7 +178,7 @@
         });
     }
 
-    /// An attempt's connection breaks, and its upstream has ended or lives on.
+    /// Breaks the connection of an attempt; the crash check then finds that its upstream has ended or is alive.
     pub fn break_connection(&mut self, sent: &Sent, ended: bool) {
         self.fail(sent, Failure::Broken);
         let life = life(sent.upstream, 0);
@@ -199,7 +199,7 @@
         });
     }
 
-    /// Has a stream told of that waits at another instance.
+    /// Reports a stream that is queued at another instance.
     pub fn add_peer_waiting(&mut self, prompt: u64) {
         self.handle(Event::Sighted(Sighting {
             backup: None,
@@ -211,7 +211,7 @@
         }));
     }
 
-    /// When callers were asked to come back, in order.
+    /// Retry delays given to callers, in order.
     pub fn retry_afters(&self) -> Vec<u64> {
         let come_back = |effect: &Effect| match effect {
             Effect::Fail { retry_after_ms, .. } => *retry_after_ms,
@@ -220,7 +220,7 @@
         self.effects.iter().filter_map(come_back).collect()
     }
 
-    /// Everything sent, in order.
+    /// All requests sent, in order.
     pub fn sent(&self) -> Vec<Sent> {
         let sent = |effect: &Effect| match effect {
             Effect::Send {
@@ -249,12 +249,12 @@
         self.effects.iter().filter_map(sent).collect()
     }
 
-    /// What was sent last.
+    /// The last request sent.
     pub fn last_sent(&self) -> Sent {
         self.sent().pop().expect("something was sent")
     }
 
-    /// Positions of the events given to callers.
+    /// Positions of the events delivered to callers.
     pub fn delivered(&self) -> Vec<u64> {
         let position = |effect: &Effect| match effect {
             Effect::Pass { bytes, .. } => {
@@ -266,7 +266,7 @@
         self.effects.iter().filter_map(position).collect()
     }
 
-    /// Names of the last steps given to callers.
+    /// Names of the final effects for callers.
     pub fn outcomes(&self) -> Vec<String> {
         let end = |effect: &Effect| match effect {
             Effect::Answer(_) => Some("answer".into()),
@@ -286,7 +286,7 @@
         self.effects.iter().map(count).sum()
     }
 
-    /// Lets time pass in the steps of a running instance.
+    /// Advances time in steps of 10 ms, with a tick in each.
     pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = self.now.after(10);
@@ -307,7 +307,7 @@
     usize::from(address.port()) - 1
 }
 
-/// An upstream at an address; three addresses in a row are in one data centre.
+/// List entry for an upstream; each three consecutive places share a data centre.
 pub fn listed(name: usize, place: usize) -> Listed {
     Listed {
         address: address(place),
@@ -379,7 +379,7 @@
     }
 }
 
-/// The life of an upstream by its number that began at a time.
+/// Incarnation of an upstream with the given start time.
 pub fn life(upstream: usize, born: u64) -> Life {
     Life::new(&format!("runner-{upstream}"), born)
 }
--- a/crates/core/tests/relay/life.rs
+++ b/crates/core/tests/relay/life.rs
@@ -1,23 +1,23 @@
-//! Lives of an upstream under one name: what is believed of one says nothing of another.
+//! Incarnations of an upstream under one name: state of one must not apply to another.
 
 use super::*;
 
-/// An upstream at its place in a life that began at a time.
-fn born(upstream: usize, born: u64) -> Listed {
+/// List entry for an upstream with the given start time.
+fn listed_since(upstream: usize, born: u64) -> Listed {
     Listed {
         born,
         ..listed(upstream, upstream)
     }
 }
 
-/// A core with upstreams that were all born at 5.
-fn lives(upstreams: usize) -> Test {
+/// Creates a core with upstreams that all started at 5.
+fn started_at_5(upstreams: usize) -> Test {
     let mut test = Test::new(0);
-    test.list((0..upstreams).map(|index| born(index, 5)).collect());
+    test.list((0..upstreams).map(|index| listed_since(index, 5)).collect());
     test
 }
 
-/// What is believed of an upstream since a moment, by names as in logs.
+/// Beliefs logged about upstreams since the given effect.
 fn beliefs(test: &Test, since: usize) -> Vec<&'static str> {
     let belief = |effect: &Effect| match effect {
         Effect::Believe { belief, .. } => Some(belief.name()),
@@ -27,33 +27,15 @@
 }
 
 #[gtest]
-fn call_that_may_run_once_is_not_sent_again_behind_a_restart() {
-    let mut test = lives(1);
-    test.request(NON_REPEATABLE);
-    test.list(vec![born(0, 9), born(1, 5)]);
-    expect_that!(test.sent().len(), eq(1));
-    expect_that!(test.outcomes(), elements_are![eq("upstream_failed")]);
-}
-
-#[gtest]
-fn call_that_may_repeat_is_sent_again_behind_a_restart() {
-    let mut test = lives(1);
-    test.request(REPEATABLE);
-    test.list(vec![born(0, 9)]);
-    expect_that!(test.sent().len(), eq(2));
-    expect_that!(test.outcomes(), is_empty());
-}
-
-#[gtest]
-fn copy_at_a_former_life_is_not_gone_on_from() {
-    let mut test = lives(6);
+fn copy_at_a_former_incarnation_is_not_resumed_from() {
+    let mut test = started_at_5(6);
     test.handle(Event::Sighted(Sighting {
         backup: Some(life(4, 5)),
         upstream: Some(life(1, 5)),
         ..sighting(1, 4)
     }));
-    let mut listed: Vec<Listed> = (0..6).map(|index| born(index, 5)).collect();
-    listed[4] = born(4, 9);
+    let mut listed: Vec<Listed> = (0..6).map(|index| listed_since(index, 5)).collect();
+    listed[4] = listed_since(4, 9);
     test.list(listed);
     test.request_as("key", STREAM, 9);
     expect_that!(test.last_sent().copy, none());
@@ -61,56 +43,14 @@
 }
 
 #[gtest]
-fn doubts_about_a_former_life_end_with_it() {
-    let mut test = lives(1);
-    test.request(REPEATABLE);
-    let sent = test.last_sent();
-    test.fail(&sent, Failure::Broken);
-    test.list(vec![born(0, 9)]);
-    test.request(REPEATABLE);
-    expect_that!(test.last_sent().upstream, eq(0));
-    let before = test.effects.len();
-    test.advance(1_200);
-    expect_that!(beliefs(&test, before), is_empty());
-}
-
-#[gtest]
-fn earlier_birth_told_late_strikes_nobody() {
-    let mut test = lives(6);
-    test.list((0..6).map(|index| born(index, 9)).collect());
-    for upstream in [0, 1] {
-        test.handle(Event::Blamed(life(upstream, 5)));
-    }
-    let mut used = std::collections::BTreeSet::new();
-    for _ in 0..30 {
-        test.request(REPEATABLE);
-        used.insert(test.last_sent().upstream);
-    }
-    expect_that!(used.contains(&0) || used.contains(&1), eq(true));
-}
-
-#[gtest]
-fn entry_of_a_service_without_a_configuration_takes_nobody_s_place() {
-    let mut test = lives(1);
-    let foreign = Listed {
-        pool: "another".into(),
-        since: Position::new(0, 70),
-        ..listed(9, 0)
-    };
-    test.list(vec![born(0, 5), foreign]);
-    test.request(NON_REPEATABLE);
-    expect_that!(test.last_sent().upstream, eq(0));
-}
-
-#[gtest]
-fn entry_of_a_service_whose_configuration_comes_later_takes_its_place_then() {
-    let mut test = lives(1);
+fn entry_of_a_service_replaces_an_upstream_once_it_is_configured() {
+    let mut test = started_at_5(1);
     let newer = Listed {
         pool: "another".into(),
         since: Position::new(0, 70),
         ..listed(9, 0)
     };
-    test.list(vec![born(0, 5), newer]);
+    test.list(vec![listed_since(0, 5), newer]);
     let before = test.effects.len();
     let mut next = configuration(2);
     let call = config::Relay {
@@ -128,28 +68,20 @@
 }
 
 #[gtest]
-fn gone_upstream_that_comes_back_in_another_life_gets_work() {
-    let mut test = lives(1);
-    test.list(vec![]);
-    test.list(vec![born(0, 9)]);
-    test.request(NON_REPEATABLE);
-    expect_that!(test.last_sent().upstream, eq(0));
-}
-
-#[gtest]
-fn leaving_upstream_that_starts_again_gets_work() {
-    let mut test = lives(1);
-    test.list(vec![Listed {
-        leaving: true,
-        ..born(0, 5)
-    }]);
-    test.list(vec![born(0, 9)]);
+fn entry_of_an_unconfigured_service_replaces_no_upstream() {
+    let mut test = started_at_5(1);
+    let foreign = Listed {
+        pool: "another".into(),
+        since: Position::new(0, 70),
+        ..listed(9, 0)
+    };
+    test.list(vec![listed_since(0, 5), foreign]);
     test.request(NON_REPEATABLE);
     expect_that!(test.last_sent().upstream, eq(0));
 }
 
 #[gtest]
-fn life_that_says_no_birth_is_known_by_its_name() {
+fn incarnation_without_a_start_time_is_identified_by_its_name() {
     let mut test = Test::new(1);
     test.request(NON_REPEATABLE);
     let before = test.effects.len();
@@ -159,13 +91,40 @@
 }
 
 #[gtest]
-fn list_that_tells_of_a_restart_is_taken_in_whole_before_anything_is_sent_on() {
-    let mut test = lives(2);
+fn late_report_about_a_former_incarnation_has_no_effect() {
+    let mut test = started_at_5(6);
+    test.list((0..6).map(|index| listed_since(index, 9)).collect());
+    for upstream in [0, 1] {
+        test.handle(Event::Blamed(life(upstream, 5)));
+    }
+    let mut used = std::collections::BTreeSet::new();
+    for _ in 0..30 {
+        test.request(REPEATABLE);
+        used.insert(test.last_sent().upstream);
+    }
+    expect_that!(used.contains(&0) || used.contains(&1), eq(true));
+}
+
+#[gtest]
+fn leaving_upstream_that_restarts_gets_work() {
+    let mut test = started_at_5(1);
+    test.list(vec![Listed {
+        leaving: true,
+        ..listed_since(0, 5)
+    }]);
+    test.list(vec![listed_since(0, 9)]);
+    test.request(NON_REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
+}
+
+#[gtest]
+fn list_with_a_restart_is_applied_completely_before_retries() {
+    let mut test = started_at_5(2);
     test.request(REPEATABLE);
     let first = test.last_sent().upstream;
-    // In the order of the list the one that restarted comes before and behind the one that leaves.
-    let mut listed: Vec<Listed> = (0..3).map(|index| born(index, 5)).collect();
-    listed[first] = born(first, 9);
+    // The list has the restarted upstream before the leaving one in one case, and after it in the other.
+    let mut listed: Vec<Listed> = (0..3).map(|index| listed_since(index, 5)).collect();
+    listed[first] = listed_since(first, 9);
     listed[1 - first].leaving = true;
     test.list(listed);
     expect_that!(test.sent().len(), eq(2));
@@ -173,8 +132,8 @@
 }
 
 #[gtest]
-fn load_of_a_former_life_is_not_that_of_the_next() {
-    let mut test = lives(2);
+fn load_of_a_former_incarnation_does_not_count_for_the_next() {
+    let mut test = started_at_5(2);
     for prompt in 0..8 {
         test.handle(Event::Sighted(Sighting {
             backup: None,
@@ -186,18 +145,45 @@
     }
     test.request(STREAM);
     expect_that!(test.last_sent().upstream, eq(1));
-    test.list(vec![born(0, 9), born(1, 5)]);
+    test.list(vec![listed_since(0, 9), listed_since(1, 5)]);
     test.request(STREAM);
     expect_that!(test.last_sent().upstream, eq(0));
 }
 
 #[gtest]
-fn restart_at_another_address_is_another_life() {
-    let mut test = lives(1);
+fn non_repeatable_call_is_not_retried_after_a_restart() {
+    let mut test = started_at_5(1);
+    test.request(NON_REPEATABLE);
+    test.list(vec![listed_since(0, 9), listed_since(1, 5)]);
+    expect_that!(test.sent().len(), eq(1));
+    expect_that!(test.outcomes(), elements_are![eq("upstream_failed")]);
+}
+
+#[gtest]
+fn removed_upstream_that_returns_as_another_incarnation_gets_work() {
+    let mut test = started_at_5(1);
+    test.list(vec![]);
+    test.list(vec![listed_since(0, 9)]);
+    test.request(NON_REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
+}
+
+#[gtest]
+fn repeatable_call_is_retried_after_a_restart() {
+    let mut test = started_at_5(1);
+    test.request(REPEATABLE);
+    test.list(vec![listed_since(0, 9)]);
+    expect_that!(test.sent().len(), eq(2));
+    expect_that!(test.outcomes(), is_empty());
+}
+
+#[gtest]
+fn restart_at_another_address_is_another_incarnation() {
+    let mut test = started_at_5(1);
     test.request(REPEATABLE);
     let moved = Listed {
         address: address(5),
-        ..born(0, 9)
+        ..listed_since(0, 9)
     };
     let before = test.effects.len();
     test.list(vec![moved]);
@@ -206,11 +192,11 @@
 }
 
 #[gtest]
-fn stream_of_a_former_life_goes_on_elsewhere_from_its_copy() {
-    let mut test = lives(6);
+fn stream_of_a_former_incarnation_resumes_elsewhere_from_its_copy() {
+    let mut test = started_at_5(6);
     let sent = test.stream(3);
-    let mut listed: Vec<Listed> = (0..6).map(|index| born(index, 5)).collect();
-    listed[sent.upstream] = born(sent.upstream, 9);
+    let mut listed: Vec<Listed> = (0..6).map(|index| listed_since(index, 5)).collect();
+    listed[sent.upstream] = listed_since(sent.upstream, 9);
     test.list(listed);
     let next = test.last_sent();
     expect_that!(Some(next.upstream), eq(sent.backup));
@@ -218,12 +204,26 @@
 }
 
 #[gtest]
-fn two_births_within_a_heartbeat_are_two_lives() {
-    let mut test = lives(1);
-    test.list(vec![born(0, 6)]);
+fn suspicion_of_a_former_incarnation_ends_with_it() {
+    let mut test = started_at_5(1);
+    test.request(REPEATABLE);
+    let sent = test.last_sent();
+    test.fail(&sent, Failure::Broken);
+    test.list(vec![listed_since(0, 9)]);
+    test.request(REPEATABLE);
+    expect_that!(test.last_sent().upstream, eq(0));
+    let before = test.effects.len();
+    test.advance(1_200);
+    expect_that!(beliefs(&test, before), is_empty());
+}
+
+#[gtest]
+fn two_restarts_within_a_heartbeat_are_two_incarnations() {
+    let mut test = started_at_5(1);
+    test.list(vec![listed_since(0, 6)]);
     let before = test.effects.len();
-    // The clock of the machine went back before it started once more.
-    test.list(vec![born(0, 4)]);
+    // The clock of the machine was set back before it restarted again.
+    test.list(vec![listed_since(0, 4)]);
     expect_that!(
         beliefs(&test, before),
         elements_are![eq(&"new"), eq(&"restarted")]
--- a/crates/core/tests/relay/notice.rs
+++ b/crates/core/tests/relay/notice.rs
@@ -1,31 +1,31 @@
-//! What upstreams say of themselves beside their answers, on every way to a sending.
+//! State announced in response headers, for all ways of sending requests.
 
 use super::*;
 
-/// A rest in milliseconds, and the longest that it may be with its spread.
-const REST: u64 = 3_000;
-const REST_MOST: u64 = REST + REST / 10;
+/// A back-off in milliseconds, and its maximum with jitter.
+const BACKOFF: u64 = 3_000;
+const MAX_BACKOFF: u64 = BACKOFF + BACKOFF / 10;
 
 impl Test {
-    /// The upstream of a sending says that it leaves.
-    fn says_leaving(&mut self, sent: &Sent) {
+    /// Announces in the response headers of an attempt that the upstream is leaving.
+    fn announce_leaving(&mut self, sent: &Sent) {
         let notice = Notice {
             leaving: true,
             ..Notice::default()
         };
-        self.says(sent, notice);
+        self.apply_notice(sent, notice);
     }
 
-    /// The upstream of a sending asks for rest.
-    fn asks_for(&mut self, sent: &Sent, millis: u64) {
+    /// Requests a back-off in the response headers of an attempt.
+    fn request_backoff(&mut self, sent: &Sent, millis: u64) {
         let notice = Notice {
             backoff: Backoff::For(millis),
             ..Notice::default()
         };
-        self.says(sent, notice);
+        self.apply_notice(sent, notice);
     }
 
-    pub(crate) fn says(&mut self, sent: &Sent, notice: Notice) {
+    pub(crate) fn apply_notice(&mut self, sent: &Sent, notice: Notice) {
         self.handle(Event::Noticed {
             attempt: sent.attempt,
             notice,
@@ -33,14 +33,14 @@
         });
     }
 
-    /// The upstream of a sending turns it away and asks for rest.
-    fn turns_away(&mut self, sent: &Sent, millis: u64) {
-        self.asks_for(sent, millis);
+    /// Refuses an attempt and requests a back-off.
+    fn refuse_with_backoff(&mut self, sent: &Sent, millis: u64) {
+        self.request_backoff(sent, millis);
         self.fail(sent, Failure::Refused);
     }
 
-    /// A call that reached an upstream.
-    fn sent_to(&mut self, upstream: usize) -> Sent {
+    /// Submits calls until one reaches the given upstream.
+    fn call_reaching(&mut self, upstream: usize) -> Sent {
         loop {
             self.request(NON_REPEATABLE);
             let sent = self.last_sent();
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Asks some times and answers at once; which upstreams were asked.
-    fn asked(&mut self, path: &str) -> Vec<usize> {
+    /// Submits and answers several calls; returns the upstreams that received them.
+    fn upstreams_called(&mut self, path: &str) -> Vec<usize> {
         let before = self.sent().len();
         for _ in 0..12 {
             self.request(path);
@@ -61,59 +61,70 @@
                 self.answer(&sent, Verdict::Good);
             }
         }
-        let mut asked: Vec<usize> = self.sent()[before..]
+        let mut called: Vec<usize> = self.sent()[before..]
             .iter()
             .map(|sent| sent.upstream)
             .collect();
-        asked.sort_unstable();
-        asked.dedup();
-        asked
+        called.sort_unstable();
+        called.dedup();
+        called
     }
 }
 
-/// Entries of the first upstreams.
-fn all(upstreams: usize) -> Vec<Listed> {
+/// List entries for the first upstreams.
+fn listed_first(upstreams: usize) -> Vec<Listed> {
     (0..upstreams).map(|index| listed(index, index)).collect()
 }
 
-/// Two upstreams, of which the one that got the first call said that it leaves; which one it is.
-fn left_of_two() -> (Test, usize) {
+/// Creates a core with two upstreams, of which the one with the first call has announced that it is leaving; returns its
+/// index.
+fn one_of_two_leaving() -> (Test, usize) {
     let mut test = Test::new(2);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.says_leaving(&sent);
+    test.announce_leaving(&sent);
     test.answer(&sent, Verdict::Good);
     (test, sent.upstream)
 }
 
 #[gtest]
-fn upstream_that_says_that_it_leaves_gets_nothing_more() {
-    let (mut test, left) = left_of_two();
+fn upstream_that_announces_leaving_gets_nothing_more() {
+    let (mut test, left) = one_of_two_leaving();
     for path in [NON_REPEATABLE, REPEATABLE, STREAM] {
-        expect_that!(test.asked(path), elements_are![eq(&(1 - left))], "{path}");
+        expect_that!(
+            test.upstreams_called(path),
+            elements_are![eq(&(1 - left))],
+            "{path}"
+        );
     }
 }
 
 #[gtest]
-fn word_of_leaving_outlasts_the_hint_and_a_list_that_says_otherwise() {
-    let (mut test, left) = left_of_two();
+fn announced_leaving_outlasts_the_hint_and_a_contradicting_list() {
+    let (mut test, left) = one_of_two_leaving();
     for _ in 0..8 {
         test.advance(5_000);
-        test.list(all(2));
-        expect_that!(test.asked(NON_REPEATABLE), elements_are![eq(&(1 - left))]);
+        test.list(listed_first(2));
+        expect_that!(
+            test.upstreams_called(NON_REPEATABLE),
+            elements_are![eq(&(1 - left))]
+        );
     }
 }
 
 #[gtest]
-fn word_of_leaving_holds_when_the_entry_goes_and_is_back() {
-    let (mut test, left) = left_of_two();
+fn announced_leaving_survives_a_missing_entry() {
+    let (mut test, left) = one_of_two_leaving();
     test.list(vec![listed(1 - left, 1 - left)]);
-    test.list(all(2));
-    expect_that!(test.asked(NON_REPEATABLE), elements_are![eq(&(1 - left))]);
+    test.list(listed_first(2));
+    expect_that!(
+        test.upstreams_called(NON_REPEATABLE),
+        elements_are![eq(&(1 - left))]
+    );
 }
 
 #[gtest]
-fn word_of_leaving_says_nothing_of_the_next_life() {
+fn announced_leaving_does_not_apply_to_the_next_incarnation() {
     let mut test = Test::new(0);
     let born = |born| Listed {
         born,
@@ -122,20 +133,20 @@
     test.list(vec![born(5)]);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.says_leaving(&sent);
+    test.announce_leaving(&sent);
     test.answer(&sent, Verdict::Good);
     test.list(vec![born(9)]);
-    expect_that!(test.asked(NON_REPEATABLE), elements_are![eq(&0)]);
-    // A late word of the former life finds nobody.
-    test.says_leaving(&sent);
-    expect_that!(test.asked(NON_REPEATABLE), elements_are![eq(&0)]);
+    expect_that!(test.upstreams_called(NON_REPEATABLE), elements_are![eq(&0)]);
+    // A late response of the former incarnation has no effect.
+    test.announce_leaving(&sent);
+    expect_that!(test.upstreams_called(NON_REPEATABLE), elements_are![eq(&0)]);
 }
 
 #[gtest]
-fn word_of_leaving_cuts_nothing_that_runs() {
+fn announced_leaving_interrupts_no_running_stream() {
     let mut test = Test::new(6);
     let sent = test.stream(3);
-    test.says_leaving(&sent);
+    test.announce_leaving(&sent);
     test.pass_on(&sent, 4);
     test.close(&sent, true);
     expect_that!(
@@ -147,15 +158,15 @@
 }
 
 #[gtest]
-fn lost_stream_does_not_go_on_at_a_copy_whose_upstream_leaves_or_rests() {
+fn lost_stream_is_not_resumed_from_a_copy_at_an_upstream_leaving_or_in_backoff() {
     for leaves in [true, false] {
         let mut test = Test::new(6);
         let sent = test.stream(3);
-        let holder = test.sent_to(sent.backup.expect("a copy is kept"));
+        let holder = test.call_reaching(sent.backup.expect("a copy is kept"));
         if leaves {
-            test.says_leaving(&holder);
+            test.announce_leaving(&holder);
         } else {
-            test.asks_for(&holder, REST);
+            test.request_backoff(&holder, BACKOFF);
         }
         test.fail(&sent, Failure::Broken);
         expect_that!(test.last_sent().upstream, not(eq(holder.upstream)));
@@ -165,76 +176,86 @@
 }
 
 #[gtest]
-fn others_are_told_once_of_an_upstream_that_leaves() {
-    let (mut test, left) = left_of_two();
+fn peers_are_told_once_of_a_leaving_upstream() {
+    let (mut test, left) = one_of_two_leaving();
     let sent = test.sent().first().cloned().unwrap();
-    test.says_leaving(&sent);
-    let told = |effect: &&Effect| matches!(effect, Effect::Leaving { .. });
-    expect_that!(test.effects.iter().filter(told).count(), eq(1));
+    test.announce_leaving(&sent);
+    let is_leaving = |effect: &&Effect| matches!(effect, Effect::Leaving { .. });
+    expect_that!(test.effects.iter().filter(is_leaving).count(), eq(1));
     let mut other = Test::new(2);
     other.handle(Event::Departing(life(left, 0)));
-    expect_that!(other.asked(NON_REPEATABLE), elements_are![eq(&(1 - left))]);
-    // What was told is not told on: each instance that hears it would tell all others.
-    expect_that!(other.effects.iter().filter(told).count(), eq(0));
+    expect_that!(
+        other.upstreams_called(NON_REPEATABLE),
+        elements_are![eq(&(1 - left))]
+    );
+    // A report from a peer is not forwarded; otherwise each instance that receives it would tell all others.
+    expect_that!(other.effects.iter().filter(is_leaving).count(), eq(0));
 }
 
 #[gtest]
-fn word_that_was_told_holds_for_a_while_only() {
+fn leaving_reported_by_a_peer_expires() {
     let mut test = Test::new(2);
     test.handle(Event::Departing(life(0, 0)));
     test.advance(31_000);
-    expect_that!(test.asked(NON_REPEATABLE), elements_are![eq(&0), eq(&1)]);
+    expect_that!(
+        test.upstreams_called(NON_REPEATABLE),
+        elements_are![eq(&0), eq(&1)]
+    );
 }
 
 #[gtest]
-fn upstream_that_asked_for_rest_gets_nothing_in_that_time() {
+fn upstream_in_backoff_gets_nothing() {
     for path in [NON_REPEATABLE, REPEATABLE, STREAM] {
         let mut test = Test::new(2);
         test.request(path);
         let sent = test.last_sent();
-        test.turns_away(&sent, REST);
+        test.refuse_with_backoff(&sent, BACKOFF);
         test.answer(&test.last_sent(), Verdict::Good);
-        for _ in 0..REST / 500 {
-            let asked = test.asked(path);
+        for _ in 0..BACKOFF / 500 {
+            let asked = test.upstreams_called(path);
             expect_that!(asked, elements_are![eq(&(1 - sent.upstream))], "{path}");
             test.advance(500);
         }
-        test.advance(REST_MOST - REST + 5_000);
-        expect_that!(test.asked(path), elements_are![eq(&0), eq(&1)], "{path}");
+        test.advance(MAX_BACKOFF - BACKOFF + 5_000);
+        expect_that!(
+            test.upstreams_called(path),
+            elements_are![eq(&0), eq(&1)],
+            "{path}"
+        );
     }
 }
 
 #[gtest]
-fn shorter_rest_does_not_end_a_longer_one() {
+fn shorter_backoff_does_not_end_a_longer_one() {
     let mut test = Test::new(2);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.turns_away(&sent, REST);
-    test.asks_for(&sent, 100);
+    test.refuse_with_backoff(&sent, BACKOFF);
+    test.request_backoff(&sent, 100);
     test.advance(1_000);
     expect_that!(
-        test.asked(NON_REPEATABLE),
+        test.upstreams_called(NON_REPEATABLE),
         elements_are![eq(&(1 - sent.upstream))]
     );
 }
 
 #[gtest]
-fn rest_holds_when_the_entry_goes_and_is_back() {
+fn backoff_survives_a_missing_entry() {
     let mut test = Test::new(2);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.turns_away(&sent, REST);
+    test.refuse_with_backoff(&sent, BACKOFF);
     test.answer(&test.last_sent(), Verdict::Good);
     test.list(vec![listed(1 - sent.upstream, 1 - sent.upstream)]);
-    test.list(all(2));
+    test.list(listed_first(2));
     expect_that!(
-        test.asked(NON_REPEATABLE),
+        test.upstreams_called(NON_REPEATABLE),
         elements_are![eq(&(1 - sent.upstream))]
     );
 }
 
 #[gtest]
-fn rest_that_is_no_time_is_counted_and_asks_for_none() {
+fn malformed_backoff_is_counted_and_ignored() {
     let mut test = Test::new(1);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
@@ -242,52 +263,55 @@
         backoff: Backoff::Malformed,
         ..Notice::default()
     };
-    test.says(&sent, notice);
+    test.apply_notice(&sent, notice);
     test.answer(&sent, Verdict::Good);
     expect_that!(test.counted(Counter::NoticeOdd), eq(1));
-    expect_that!(test.asked(NON_REPEATABLE), elements_are![eq(&0)]);
+    expect_that!(test.upstreams_called(NON_REPEATABLE), elements_are![eq(&0)]);
 }
 
 #[gtest]
-fn rest_beyond_an_hour_ends_with_the_hour() {
+fn backoff_is_capped_at_an_hour() {
     let mut test = Test::new(1);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.asks_for(&sent, u64::MAX);
+    test.request_backoff(&sent, u64::MAX);
     test.answer(&sent, Verdict::Good);
     let hour = 3_600_000;
     test.now = test.now.after(hour - 1);
-    test.list(all(1));
-    expect_that!(test.asked(NON_REPEATABLE), is_empty());
+    test.list(listed_first(1));
+    expect_that!(test.upstreams_called(NON_REPEATABLE), is_empty());
     test.now = test.now.after(hour / 10 + 1);
-    test.list(all(1));
-    expect_that!(test.asked(NON_REPEATABLE), elements_are![eq(&0)]);
+    test.list(listed_first(1));
+    expect_that!(test.upstreams_called(NON_REPEATABLE), elements_are![eq(&0)]);
 }
 
-/// All upstreams of a service ask for a rest that is longer than a request may wait: an instance that let requests wait for their
-/// deadline would hold what it knows to be in vain.
+/// All upstreams of a service request a back-off longer than a request may wait. Queueing requests until their deadline
+/// would hold what is known to fail.
 #[gtest]
-fn request_that_all_upstreams_rest_for_longer_than_it_may_wait_is_refused_at_once() {
+fn request_is_refused_at_once_if_all_backoffs_exceed_its_waiting_time() {
     let mut test = Test::new(1);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.turns_away(&sent, REST);
+    test.refuse_with_backoff(&sent, BACKOFF);
     expect_that!(test.outcomes(), elements_are![eq("overloaded")]);
     test.request(NON_REPEATABLE);
     expect_that!(test.sent().len(), eq(1));
     expect_that!(test.outcomes().len(), eq(2));
     for come_back in test.retry_afters() {
-        expect_that!(come_back, all![ge(REST), le(REST_MOST + REST_MOST / 8)]);
+        expect_that!(
+            come_back,
+            all![ge(BACKOFF), le(MAX_BACKOFF + MAX_BACKOFF / 8)]
+        );
     }
 }
 
-/// A rest that ends while a request may still wait: to wait serves it, to refuse it would not.
+/// The back-off ends within the waiting time, so waiting serves the request and refusing would not.
 #[gtest]
-fn request_waits_for_the_end_of_a_short_rest() {
+fn request_waits_for_the_end_of_a_short_backoff() {
     let mut test = Test::new(1);
     test.request(REPEATABLE);
     let sent = test.last_sent();
-    test.turns_away(&sent, 300);
+    test.refuse_with_backoff(&sent, 300);
     expect_that!(test.outcomes(), is_empty());
     test.advance(290);
     expect_that!(test.sent().len(), eq(1));
@@ -296,14 +320,14 @@
 }
 
 #[gtest]
-fn request_that_waits_is_refused_at_once_when_the_last_upstream_asks_for_rest() {
+fn queued_request_is_refused_at_once_when_the_last_upstream_requests_a_backoff() {
     let mut test = Test::new(1);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.asks_for(&sent, 400);
+    test.request_backoff(&sent, 400);
     test.request(NON_REPEATABLE);
     expect_that!(test.outcomes(), is_empty());
-    test.asks_for(&sent, REST);
+    test.request_backoff(&sent, BACKOFF);
     expect_that!(test.outcomes(), elements_are![eq("overloaded")]);
     test.answer(&sent, Verdict::Good);
     expect_that!(
@@ -312,15 +336,15 @@
     );
 }
 
-/// Instances that one upstream turned away in the same moment must not all come back in the same moment.
+/// Instances that were refused by one upstream at the same moment must not all return at the same moment.
 #[gtest]
-fn ends_of_one_rest_are_spread_over_instances() {
+fn ends_of_a_backoff_are_spread_over_instances() {
     let mut starts: Vec<u64> = (0..20)
         .map(|seed| {
             let mut test = Test::seeded(seed);
             test.request(REPEATABLE);
             let sent = test.last_sent();
-            test.turns_away(&sent, 800);
+            test.refuse_with_backoff(&sent, 800);
             let begun = test.now;
             while test.sent().len() < 2 && test.now.since(begun) < 1_000 {
                 test.advance(10);
@@ -334,13 +358,13 @@
     expect_that!(starts[19] - starts[0], ge(40));
 }
 
-/// Calls of a resting upstream are not given to the others beyond what these serve.
+/// Calls for an upstream in back-off must not overload the other upstreams.
 #[gtest]
-fn slots_of_a_resting_upstream_do_not_count() {
+fn slots_of_an_upstream_in_backoff_do_not_count() {
     let mut test = Test::new(2);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
-    test.asks_for(&sent, REST);
+    test.request_backoff(&sent, BACKOFF);
     expect_that!(
         test.core
             .upstreams()
@@ -351,7 +375,7 @@
 }
 
 #[gtest]
-fn load_is_taken_from_every_answer_of_the_upstream() {
+fn load_is_applied_from_every_response_of_the_upstream() {
     let mut test = Test::new(1);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
@@ -365,7 +389,7 @@
         load: Some(load),
         ..Notice::default()
     };
-    test.says(&sent, notice);
+    test.apply_notice(&sent, notice);
     test.fail(&sent, Failure::Refused);
     let known: Vec<Load> = test
         .core
--- a/crates/core/tests/relay/version.rs
+++ b/crates/core/tests/relay/version.rs
@@ -1,8 +1,8 @@
-//! Upstreams of several versions in one pool: which of them are given work.
+//! Pools whose upstreams run several versions: which of them get work.
 
 use super::*;
 
-/// An upstream of a version at its place, entered in the order of the places.
+/// List entry for an upstream with the given version; registered in the order of places.
 fn of_version(place: usize, version: &str) -> Listed {
     Listed {
         since: Position::new(0, 10 + place as u64),
@@ -11,23 +11,23 @@
     }
 }
 
-/// Upstreams of two versions: the first six of one, the next six of another, entered later.
-fn both() -> Vec<Listed> {
+/// List of two versions: six upstreams of the old one, then six of the new one that registered later.
+fn two_versions() -> Vec<Listed> {
     let old = (0..6).map(|place| of_version(place, "v1"));
     let new = (6..12).map(|place| of_version(place, "v2"));
     old.chain(new).collect()
 }
 
-/// A core that knew the old version before the new one came.
-fn beside() -> Test {
+/// Creates a core that knew the old version before the new one was listed.
+fn with_new_version() -> Test {
     let mut test = Test::new(0);
-    test.list(both()[..6].to_vec());
-    test.list(both());
+    test.list(two_versions()[..6].to_vec());
+    test.list(two_versions());
     test
 }
 
-/// Places to which some requests were sent.
-fn places(test: &mut Test, path: &str) -> Vec<usize> {
+/// Upstreams to which 40 requests and their copies were sent.
+fn used_upstreams(test: &mut Test, path: &str) -> Vec<usize> {
     let before = test.sent().len();
     for _ in 0..40 {
         test.request(path);
@@ -41,24 +41,24 @@
 }
 
 #[gtest]
-fn version_that_nobody_ordered_gets_nothing_beside_the_one_in_force() {
+fn new_version_gets_nothing_beside_the_active_one() {
     for path in [STREAM, REPEATABLE, NON_REPEATABLE] {
-        let mut test = beside();
-        let places = places(&mut test, path);
+        let mut test = with_new_version();
+        let places = used_upstreams(&mut test, path);
         expect_that!(places, not(is_empty()));
         expect_that!(places, each(lt(&6)), "{path}");
     }
 }
 
 #[gtest]
-fn instance_that_starts_amid_two_versions_takes_the_one_that_was_there_first() {
+fn instance_that_starts_with_two_versions_uses_the_one_registered_first() {
     let mut test = Test::new(0);
-    test.list(both());
-    expect_that!(places(&mut test, REPEATABLE), each(lt(&6)));
+    test.list(two_versions());
+    expect_that!(used_upstreams(&mut test, REPEATABLE), each(lt(&6)));
 }
 
 #[gtest]
-fn second_sending_goes_to_the_version_in_force_too() {
+fn retry_goes_to_the_active_version_too() {
     let mut test = Test::new(0);
     test.list(vec![
         of_version(0, "v1"),
@@ -73,16 +73,16 @@
 }
 
 #[gtest]
-fn lost_stream_goes_on_at_the_version_in_force() {
-    let mut test = beside();
+fn lost_stream_resumes_at_the_active_version() {
+    let mut test = with_new_version();
     let sent = test.stream(3);
     test.fail(&sent, Failure::Broken);
     expect_that!(test.last_sent().upstream, lt(6));
 }
 
 #[gtest]
-fn copy_at_another_version_is_not_gone_on_from() {
-    let mut test = beside();
+fn copy_at_another_version_is_not_resumed_from() {
+    let mut test = with_new_version();
     test.handle(Event::Sighted(Sighting {
         backup: Some(life(8, 0)),
         upstream: Some(life(7, 0)),
@@ -94,20 +94,20 @@
 }
 
 #[gtest]
-fn another_version_is_given_work_once_nothing_of_the_one_in_force_stays() {
-    let mut test = beside();
-    let leaving = both().into_iter().map(|listed| Listed {
+fn another_version_gets_work_once_the_active_one_is_gone() {
+    let mut test = with_new_version();
+    let leaving = two_versions().into_iter().map(|listed| Listed {
         leaving: listed.version == "v1",
         ..listed
     });
     test.list(leaving.collect());
-    let places_then = places(&mut test, REPEATABLE);
+    let places_then = used_upstreams(&mut test, REPEATABLE);
     expect_that!(places_then, not(is_empty()));
     expect_that!(places_then, each(ge(&6)));
 }
 
 #[gtest]
-fn upstreams_that_say_beside_answers_that_they_leave_hold_no_other_version_back() {
+fn upstreams_that_announce_leaving_hold_no_other_version_back() {
     let mut test = Test::new(0);
     test.list(vec![of_version(0, "v1"), of_version(1, "v2")]);
     test.request(REPEATABLE);
@@ -128,18 +128,18 @@
 }
 
 #[gtest]
-fn version_in_force_has_all_work_again_when_its_upstreams_are_back() {
-    let mut test = beside();
-    test.list(both().split_off(6));
-    expect_that!(places(&mut test, REPEATABLE), each(ge(&6)));
-    test.list(both());
-    expect_that!(places(&mut test, REPEATABLE), each(lt(&6)));
+fn active_version_gets_all_work_again_when_its_upstreams_return() {
+    let mut test = with_new_version();
+    test.list(two_versions().split_off(6));
+    expect_that!(used_upstreams(&mut test, REPEATABLE), each(ge(&6)));
+    test.list(two_versions());
+    expect_that!(used_upstreams(&mut test, REPEATABLE), each(lt(&6)));
 }
 
 #[gtest]
-fn upstreams_that_do_not_say_their_version_are_of_one() {
+fn upstreams_without_a_version_count_as_one_version() {
     let mut test = Test::new(12);
-    let mut places = places(&mut test, REPEATABLE);
+    let mut places = used_upstreams(&mut test, REPEATABLE);
     places.sort_unstable();
     places.dedup();
     expect_that!(places.len(), gt(6));
