--- a/crates/core/src/detector.rs
+++ b/crates/core/src/detector.rs
@@ -29,8 +29,8 @@
     }
 
     /// Adds a gap in milliseconds.
-    pub fn observe(&mut self, gap: u64) {
-        let error = gap as f64 - self.mean;
+    pub fn observe(&mut self, gap_ms: u64) {
+        let error = gap_ms as f64 - self.mean;
         self.mean += GAIN * error;
         self.deviation += GAIN * (error.abs() - self.deviation);
     }
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -227,8 +227,8 @@
     /// that were queued up to the target time itself were all late.
     fn latest_start(&self, request: &Request) -> Time {
         let pool = self.pools.get(request.service.pool());
-        let takes = pool.map_or(0.0, |pool| pool.demands.takes_ms());
-        let latest = request.wanted_by.0.saturating_sub(takes as u64);
+        let duration_ms = pool.map_or(0.0, |pool| pool.demands.takes_ms());
+        let latest = request.wanted_by.0.saturating_sub(duration_ms as u64);
         request.send_by.max(Time(latest))
     }
 
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -104,11 +104,11 @@
     fn reservation_at(&self, now: Time) -> (Reservation, Time) {
         let age = now.since(self.at);
         let tokens = self.sighting.tokens;
-        let room = |is_prefilling| Reservation::Resources(Usage::new(is_prefilling, tokens));
+        let resources = |is_prefilling| Reservation::Resources(Usage::new(is_prefilling, tokens));
         let (reservation, until) = match self.sighting.stage {
             _ if self.is_own => (Reservation::Nothing, RETENTION_MS),
-            Stage::Started if age < self.prefill_ms => (room(true), self.prefill_ms),
-            Stage::Started | Stage::Streaming if age < RUNNING_MS => (room(false), RUNNING_MS),
+            Stage::Started if age < self.prefill_ms => (resources(true), self.prefill_ms),
+            Stage::Started | Stage::Streaming if age < RUNNING_MS => (resources(false), RUNNING_MS),
             Stage::Waiting if age < WAITING_MS => (Reservation::QueueSlot, WAITING_MS),
             _ => (Reservation::Nothing, RETENTION_MS),
         };
@@ -117,7 +117,7 @@
 }
 
 impl Sightings {
-    /// Adds a record from another instance, or from this one if `own` is set. The stream's prefill is assumed to take
+    /// Adds a record from another instance, or from this one if `is_own` is set. The stream's prefill is assumed to take
     /// `prefill_ms`.
     pub fn add(
         &mut self,
@@ -225,7 +225,7 @@
         match entry.reservation {
             Reservation::Nothing => {}
             Reservation::Resources(usage) => {
-                for (key, usage) in usage.at(entry.upstream, entry.backup) {
+                for (key, usage) in usage.split(entry.upstream, entry.backup) {
                     if let Some(entry) = self.usages.entry(key) {
                         entry.or_default().add(usage);
                     }
@@ -249,7 +249,7 @@
         match std::mem::replace(&mut entry.reservation, Reservation::Nothing) {
             Reservation::Nothing => {}
             Reservation::Resources(usage) => {
-                for (key, usage) in usage.at(entry.upstream, entry.backup) {
+                for (key, usage) in usage.split(entry.upstream, entry.backup) {
                     if let Some(entry) = self.usages.get_mut(key) {
                         entry.subtract(usage);
                     }
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -115,13 +115,13 @@
         let (address, life) = (upstream.address, upstream.life);
         let print = self.requests[attempt.request].print;
         let running_ms = attempt.began.map_or(0, |began| self.now.since(began));
-        let part = if running_ms >= LONG_RUN_MS {
+        let involvement = if running_ms >= LONG_RUN_MS {
             quarantine::Part::Ran
         } else {
             quarantine::Part::Fresh
         };
         if self.crash_suspects.account.has(life) {
-            self.record_crash(life, &[(print, part)].into());
+            self.record_crash(life, &[(print, involvement)].into());
             return;
         }
         let now = self.now;
@@ -131,7 +131,7 @@
             broken_at: now,
             requests: BTreeMap::new(),
         });
-        pending.requests.insert(print, part);
+        pending.requests.insert(print, involvement);
         if std::mem::replace(&mut pending.answered, false) {
             self.push_quarantine_effect(effect::Quarantine::Check { address, life });
         }
@@ -144,8 +144,12 @@
         } else if let Some(pending) = self.crash_suspects.pending.get_mut(&life) {
             pending.answered = true;
         }
-        let of_life = |held: &mut Held| held.life == life;
-        let held: Vec<Held> = self.crash_suspects.held.extract_if(.., of_life).collect();
+        let is_same_life = |held: &mut Held| held.life == life;
+        let held: Vec<Held> = self
+            .crash_suspects
+            .held
+            .extract_if(.., is_same_life)
+            .collect();
         for held in held {
             self.retry_request(held.request, held.reason);
         }
@@ -161,9 +165,9 @@
     fn record_crash(&mut self, life: Life, requests: &BTreeMap<Print, quarantine::Part>) {
         let (now, account) = (self.now, &mut self.crash_suspects.account);
         let mut news = Account::default();
-        for (print, part) in requests {
-            if account.add(life, *print, *part, now) {
-                news.add(life, *print, *part, now);
+        for (print, involvement) in requests {
+            if account.add(life, *print, *involvement, now) {
+                news.add(life, *print, *involvement, now);
             }
         }
         self.crash_suspects.witnessed.insert(life);
@@ -175,8 +179,8 @@
         if self.settings.quarantine == Guilt::Off {
             return;
         }
-        let news = self.crash_suspects.account.merge(reported);
-        if !news.is_empty() {
+        let changes = self.crash_suspects.account.merge(reported);
+        if !changes.is_empty() {
             self.update_quarantine();
         }
     }
@@ -189,14 +193,14 @@
         for pending in self.crash_suspects.pending.values_mut() {
             pending.requests.remove(&print);
         }
-        let news = self.crash_suspects.account.clear(print);
-        self.publish_crashes(news);
+        let changes = self.crash_suspects.account.clear(print);
+        self.publish_crashes(changes);
     }
 
     /// Publishes what this instance observed, and updates the quarantine.
-    fn publish_crashes(&mut self, news: Account) {
-        if !news.is_empty() {
-            self.push_quarantine_effect(effect::Quarantine::Tell(news));
+    fn publish_crashes(&mut self, changes: Account) {
+        if !changes.is_empty() {
+            self.push_quarantine_effect(effect::Quarantine::Tell(changes));
             self.update_quarantine();
         }
     }
@@ -213,16 +217,16 @@
         suspects.account.trim(rule, self.now);
         let account = &suspects.account;
         suspects.witnessed.retain(|life| account.has(*life));
-        let before = std::mem::replace(&mut suspects.quarantined, account.guilty(rule));
-        let found: Vec<Print> = suspects.quarantined.keys().copied().collect();
-        let found = found
+        let previous = std::mem::replace(&mut suspects.quarantined, account.guilty(rule));
+        let added: Vec<Print> = suspects.quarantined.keys().copied().collect();
+        let added = added
             .into_iter()
-            .filter(|print| !before.contains_key(print));
-        for print in found.collect::<Vec<Print>>() {
+            .filter(|print| !previous.contains_key(print));
+        for print in added.collect::<Vec<Print>>() {
             self.quarantine(print);
         }
         let released = |print: &&Print| !self.crash_suspects.quarantined.contains_key(print);
-        let released: Vec<Print> = before.keys().filter(released).copied().collect();
+        let released: Vec<Print> = previous.keys().filter(released).copied().collect();
         for print in released {
             // Only an instance that stored the entry deletes it; otherwise hundreds would write when one expires.
             let own = own.contains(&print);
@@ -307,8 +311,8 @@
         }
         let pending = &mut self.crash_suspects.pending;
         pending.retain(|_, pending| now.since(pending.broken_at) < PENDING_MS);
-        let due = |held: &mut Held| held.until <= now;
-        let due: Vec<Held> = self.crash_suspects.held.extract_if(.., due).collect();
+        let is_due = |held: &mut Held| held.until <= now;
+        let due: Vec<Held> = self.crash_suspects.held.extract_if(.., is_due).collect();
         for held in due {
             self.retry_request(held.request, held.reason);
         }
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 new_key_type! {
-    /// Key of an upstream.
+    /// Identifies an upstream within one core, as long as it is known there.
     pub struct Key;
 }
 
@@ -23,11 +23,11 @@
 pub struct Load {
     /// Whether the upstream is shutting down.
     pub leaving: bool,
-    /// Running requests.
+    /// Requests being processed.
     pub running: u32,
     /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Queued requests.
+    /// Requests in the upstream's queue.
     pub waiting: u32,
 }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -28,7 +28,7 @@
     }
 
     /// Splits the usage of one request between its upstream and the one that keeps its copy, which uses memory only.
-    pub fn at(
+    pub fn split(
         self,
         upstream: Option<upstream::Key>,
         backup: Option<upstream::Key>,
@@ -37,8 +37,8 @@
             tokens: self.tokens,
             ..Self::default()
         };
-        let places = [(upstream, self), (backup, copy)];
-        places
+        let usages = [(upstream, self), (backup, copy)];
+        usages
             .into_iter()
             .filter_map(|(key, usage)| Some((key?, usage)))
     }
@@ -73,7 +73,7 @@
                 continue;
             };
             let usage = Usage::new(!attempt.started, relay.tokens);
-            for (key, usage) in usage.at(Some(attempt.upstream), attempt.backup) {
+            for (key, usage) in usage.split(Some(attempt.upstream), attempt.backup) {
                 if let Some(entry) = own.0.entry(key) {
                     entry.or_default().add(usage);
                 }
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -10,7 +10,7 @@
     /// Holds back upstreams whose version is not the active one, as long as one with the active version stays. The active
     /// version is that of the upstream registered first, and does not change while the instance runs: crashed upstreams come
     /// back as the last registered.
-    pub(crate) fn update_held(&mut self) {
+    pub(crate) fn hold_back_inactive_versions(&mut self) {
         let mut changed = Vec::new();
         for pool in self.pools.values_mut() {
             if pool.version.is_none() {
@@ -20,16 +20,16 @@
                     .min_by_key(|key| self.upstreams[**key].registered_at);
                 pool.version = first.map(|key| self.upstreams[*key].version.clone());
             }
-            let Some(in_force) = &pool.version else {
+            let Some(active) = &pool.version else {
                 continue;
             };
-            let is_in_use = pool.upstreams.iter().any(|key| {
+            let is_active_present = pool.upstreams.iter().any(|key| {
                 let upstream = &self.upstreams[*key];
-                upstream.version == *in_force && !upstream.is_leaving(self.now)
+                upstream.version == *active && !upstream.is_leaving(self.now)
             });
             for key in &pool.upstreams {
                 let upstream = &mut self.upstreams[*key];
-                let held = is_in_use && upstream.version != *in_force;
+                let held = is_active_present && upstream.version != *active;
                 if held != upstream.held {
                     upstream.held = held;
                     changed.push(*key);
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -89,8 +89,8 @@
     }
 
     /// Applies the platform's list: adds new upstreams, and marks or removes those that are leaving or gone.
-    pub(crate) fn apply_list(&mut self, asked: Time, listed: Option<&[event::Listed]>) {
-        if asked >= self.woken {
+    pub(crate) fn apply_list(&mut self, asked_at: Time, listed: Option<&[event::Listed]>) {
+        if asked_at >= self.woken {
             self.stale_until = Time::default();
         }
         let Some(listed) = listed else {
@@ -131,9 +131,9 @@
         for predecessor in predecessors {
             self.remove_restarted(predecessor);
         }
-        self.update_held();
+        self.hold_back_inactive_versions();
         self.choose_subsets();
-        self.listed = Some(asked);
+        self.listed = Some(asked_at);
         self.submit_early();
         self.pump_all();
     }
@@ -143,7 +143,7 @@
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
-        let Some(sent) = upstream.probe_sent.take() else {
+        let Some(sent_at) = upstream.probe_sent.take() else {
             return;
         };
         let wait = if alive {
@@ -156,7 +156,7 @@
             upstream.health = Health::Live;
             let pool = upstream.pool.clone();
             self.pump(&pool);
-        } else if upstream.last_heard <= sent {
+        } else if upstream.last_heard <= sent_at {
             self.mark_lost(key);
         }
     }
@@ -193,7 +193,7 @@
         self.tell_demands();
         if self.now.since(self.swept) >= EXPIRY_CHECK_MS {
             self.swept = self.now;
-            self.update_held();
+            self.hold_back_inactive_versions();
             self.schedule_limit_probes();
             self.expire_requests();
         }
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Marks an upstream whose address another one has taken over as lost.
+    /// Marks an upstream as lost because another one has taken over its address.
     pub(crate) fn mark_replaced(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         if upstream.health == Health::Lost {
@@ -411,8 +411,8 @@
             .requests
             .iter()
             .filter(|(_, request)| {
-                let waits = request.state == State::Queued && now >= request.send_by;
-                waits || now >= request.deadline
+                let is_wait_over = request.state == State::Queued && now >= request.send_by;
+                is_wait_over || now >= request.deadline
             })
             .map(|(key, _)| key)
             .collect();
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Handles a pause of this instance, such as a suspended process: silence in that time says nothing about others. After
+    /// Handles a pause of this instance: silence in that time says nothing about others. After
     /// a long pause the list may contain upstreams that have left, so nothing is sent until it was read again or that has
     /// failed for a while.
     pub(crate) fn resume_after_pause(&mut self, gap_ms: u64) {
@@ -499,9 +499,9 @@
     /// Whether an upstream with work of this instance has been silent for `probe_ms`.
     fn is_overdue(&self, key: upstream::Key) -> bool {
         let upstream = &self.upstreams[key];
-        let silent =
+        let is_silent =
             self.now.since(upstream.last_heard.max(upstream.last_probe)) >= self.settings.probe_ms;
-        !upstream.attempts.is_empty() && silent
+        !upstream.attempts.is_empty() && is_silent
     }
 
     /// Checks the streams of an upstream for stalls.
@@ -515,23 +515,23 @@
             return;
         }
         let timeout_ms = upstream.detector.timeout_ms(&self.settings);
-        let streaming = |attempt: &attempt::Key| self.attempts[*attempt].started;
-        let silent = upstream.attempts.iter().any(streaming);
-        if silent && self.now.since(upstream.last_heard) > timeout_ms {
+        let is_streaming = |attempt: &attempt::Key| self.attempts[*attempt].started;
+        let has_streaming = upstream.attempts.iter().any(is_streaming);
+        if has_streaming && self.now.since(upstream.last_heard) > timeout_ms {
             self.mark_suspected(key);
         }
-        let suspected = self.upstreams[key].health != Health::Live;
+        let is_suspected = self.upstreams[key].health != Health::Live;
         for attempt in self.upstreams[key].attempts.clone() {
-            self.check_stream(attempt, timeout_ms, suspected);
+            self.check_stream(attempt, timeout_ms, is_suspected);
         }
     }
 
-    fn check_stream(&mut self, key: attempt::Key, timeout_ms: u64, upstream_suspected: bool) {
+    fn check_stream(&mut self, key: attempt::Key, timeout_ms: u64, is_upstream_suspected: bool) {
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
         let silence = self.now.since(attempt.last);
-        if !attempt.sent || silence <= timeout_ms || !(attempt.started || upstream_suspected) {
+        if !attempt.sent || silence <= timeout_ms || !(attempt.started || is_upstream_suspected) {
             return;
         }
         let request = attempt.request;
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -99,13 +99,13 @@
     /// Submits a request with a caller timeout in milliseconds.
     pub fn request_within(
         &mut self,
-        patience: u64,
+        timeout_ms: u64,
         key: &str,
         path: &str,
         position: u64,
     ) -> Caller {
         let tokens = if path == STREAM { 5_200 } else { 0 };
-        self.submit(patience, key, path, position, tokens)
+        self.submit(timeout_ms, key, path, position, tokens)
     }
 
     /// Submits a request that states its tokens; 0 for not stated.
@@ -115,7 +115,7 @@
 
     fn submit(
         &mut self,
-        patience: u64,
+        timeout_ms: u64,
         key: &str,
         path: &str,
         position: u64,
@@ -137,7 +137,7 @@
                 bytes: 100,
                 host: "a.example".into(),
                 path: path.into(),
-                patience_ms: Some(patience),
+                patience_ms: Some(timeout_ms),
                 position,
                 prompt: if path == STREAM { 77 } else { 0 },
                 run: format!("run-{}", self.next).into(),
