--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -33,7 +33,7 @@
 pub enum Limit {
     /// Not a decimal number.
     Malformed,
-    /// None: the upstream takes any number of requests.
+    /// No limit announced: the upstream takes any number of requests.
     None,
     /// Limit on the requests from all instances together.
     Rate(Rate),
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -181,7 +181,7 @@
                 .is_none_or(|bucket| bucket.has_permit(now))
     }
 
-    /// Whether it is neither leaving nor in back-off, and of the active version. Its rate limit may be exhausted.
+    /// Whether it is neither leaving, in back-off, nor held back for its version. Its rate limit may be exhausted.
     pub fn is_available(&self, now: Time) -> bool {
         !self.is_leaving(now) && !self.is_in_backoff(now) && !self.held
     }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -270,8 +270,8 @@
             self.upstreams[key].listed_slots = entry.slots;
             self.upstreams[key].version = entry.version.as_str().into();
             return ListedUpstream {
-                predecessor: None,
                 key,
+                predecessor: None,
             };
         }
         let predecessor = known.filter(|key| self.upstreams[*key].life != life);
@@ -319,7 +319,7 @@
         if let Some(rate) = self.upstreams[key].declared.limit {
             self.set_limit(key, rate);
         }
-        ListedUpstream { predecessor, key }
+        ListedUpstream { key, predecessor }
     }
 
     /// Marks all but the last registered of the upstreams at one address as replaced. Entries for services that the active
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -213,11 +213,11 @@
 
     /// Retry delays given to callers, in order.
     pub fn retry_afters(&self) -> Vec<u64> {
-        let come_back = |effect: &Effect| match effect {
+        let retry_after = |effect: &Effect| match effect {
             Effect::Fail { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
         };
-        self.effects.iter().filter_map(come_back).collect()
+        self.effects.iter().filter_map(retry_after).collect()
     }
 
     /// All requests sent, in order.
@@ -268,14 +268,14 @@
 
     /// Names of the final effects for callers.
     pub fn outcomes(&self) -> Vec<String> {
-        let end = |effect: &Effect| match effect {
+        let outcome = |effect: &Effect| match effect {
             Effect::Answer(_) => Some("answer".into()),
             Effect::Close(_) => Some("close".into()),
             Effect::Cut(_) => Some("cut".into()),
             Effect::Fail { kind, .. } => Some(kind.to_string()),
             _ => None,
         };
-        self.effects.iter().filter_map(end).collect()
+        self.effects.iter().filter_map(outcome).collect()
     }
 
     pub fn counted(&self, counter: Counter) -> u64 {
