--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -53,8 +53,10 @@
 
 impl CrashSuspects {
     /// Whether this instance observed any of the crashes itself.
-    fn has_witnessed(&self, lives: &BTreeSet<Life>) -> bool {
-        lives.iter().any(|life| self.witnessed.contains(life))
+    fn has_witnessed(&self, incarnations: &BTreeSet<Life>) -> bool {
+        incarnations
+            .iter()
+            .any(|life| self.witnessed.contains(life))
     }
 
     /// Quarantined requests for which this instance observed at least one of the crashes.
@@ -62,20 +64,20 @@
         let own = self
             .quarantined
             .iter()
-            .filter(|(_, lives)| self.has_witnessed(lives));
-        own.map(|(print, _)| *print).collect()
+            .filter(|(_, incarnations)| self.has_witnessed(incarnations));
+        own.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
     /// Whether a request was involved in a crash, confirmed or pending.
-    fn is_suspect(&self, print: Print) -> bool {
-        self.crash_count(print) > 0
+    fn is_suspect(&self, fingerprint: Print) -> bool {
+        self.crash_count(fingerprint) > 0
     }
 
     /// Crashes in which a request was involved, including pending ones.
-    fn crash_count(&self, print: Print) -> usize {
+    fn crash_count(&self, fingerprint: Print) -> usize {
         let pending = self.pending.values().filter(|pending| !pending.answered);
-        let pending = pending.filter(|pending| pending.requests.contains_key(&print));
-        self.account.lives(print).count() + pending.count()
+        let pending = pending.filter(|pending| pending.requests.contains_key(&fingerprint));
+        self.account.lives(fingerprint).count() + pending.count()
     }
 
     /// Whether there are neither recorded crashes nor pending checks.
@@ -86,13 +88,13 @@
 
 impl Core {
     /// Whether a request is refused because it crashes its upstreams.
-    pub(crate) fn is_quarantined(&self, print: Print) -> bool {
-        self.crash_suspects.quarantined.contains_key(&print)
+    pub(crate) fn is_quarantined(&self, fingerprint: Print) -> bool {
+        self.crash_suspects.quarantined.contains_key(&fingerprint)
     }
 
     /// Whether a request was at an upstream that crashed, or may have.
-    pub(crate) fn is_crash_suspect(&self, print: Print) -> bool {
-        !self.crash_suspects.is_idle() && self.crash_suspects.is_suspect(print)
+    pub(crate) fn is_crash_suspect(&self, fingerprint: Print) -> bool {
+        !self.crash_suspects.is_idle() && self.crash_suspects.is_suspect(fingerprint)
     }
 
     /// Requests that are refused at present.
@@ -113,7 +115,7 @@
             return;
         }
         let (address, life) = (upstream.address, upstream.life);
-        let print = self.requests[attempt.request].print;
+        let fingerprint = self.requests[attempt.request].print;
         let running_ms = attempt.began.map_or(0, |began| self.now.since(began));
         let involvement = if running_ms >= LONG_RUN_MS {
             quarantine::Part::Ran
@@ -121,7 +123,7 @@
             quarantine::Part::Fresh
         };
         if self.crash_suspects.account.has(life) {
-            self.record_crash(life, &[(print, involvement)].into());
+            self.record_crash(life, &[(fingerprint, involvement)].into());
             return;
         }
         let now = self.now;
@@ -131,7 +133,7 @@
             broken_at: now,
             requests: BTreeMap::new(),
         });
-        pending.requests.insert(print, involvement);
+        pending.requests.insert(fingerprint, involvement);
         if std::mem::replace(&mut pending.answered, false) {
             self.push_quarantine_effect(effect::Quarantine::Check { address, life });
         }
@@ -165,9 +167,9 @@
     fn record_crash(&mut self, life: Life, requests: &BTreeMap<Print, quarantine::Part>) {
         let (now, account) = (self.now, &mut self.crash_suspects.account);
         let mut news = Account::default();
-        for (print, involvement) in requests {
-            if account.add(life, *print, *involvement, now) {
-                news.add(life, *print, *involvement, now);
+        for (fingerprint, involvement) in requests {
+            if account.add(life, *fingerprint, *involvement, now) {
+                news.add(life, *fingerprint, *involvement, now);
             }
         }
         self.crash_suspects.witnessed.insert(life);
@@ -186,14 +188,14 @@
     }
 
     /// Clears a request of all crashes, as it was answered completely.
-    pub(crate) fn clear_suspicion(&mut self, print: Print) {
-        if !self.is_crash_suspect(print) {
+    pub(crate) fn clear_suspicion(&mut self, fingerprint: Print) {
+        if !self.is_crash_suspect(fingerprint) {
             return;
         }
         for pending in self.crash_suspects.pending.values_mut() {
-            pending.requests.remove(&print);
+            pending.requests.remove(&fingerprint);
         }
-        let changes = self.crash_suspects.account.clear(print);
+        let changes = self.crash_suspects.account.clear(fingerprint);
         self.publish_crashes(changes);
     }
 
@@ -221,32 +223,40 @@
         let added: Vec<Print> = suspects.quarantined.keys().copied().collect();
         let added = added
             .into_iter()
-            .filter(|print| !previous.contains_key(print));
-        for print in added.collect::<Vec<Print>>() {
-            self.quarantine(print);
+            .filter(|fingerprint| !previous.contains_key(fingerprint));
+        for fingerprint in added.collect::<Vec<Print>>() {
+            self.quarantine(fingerprint);
         }
-        let released = |print: &&Print| !self.crash_suspects.quarantined.contains_key(print);
+        let released =
+            |fingerprint: &&Print| !self.crash_suspects.quarantined.contains_key(fingerprint);
         let released: Vec<Print> = previous.keys().filter(released).copied().collect();
-        for print in released {
+        for fingerprint in released {
             // Only an instance that stored the entry deletes it; otherwise hundreds would write when one expires.
-            let own = own.contains(&print);
-            self.push_quarantine_effect(effect::Quarantine::Free { own, print });
+            let own = own.contains(&fingerprint);
+            self.push_quarantine_effect(effect::Quarantine::Free {
+                own,
+                print: fingerprint,
+            });
         }
         let account = self.crash_suspects.account.clone();
         self.push_quarantine_effect(effect::Quarantine::Keep(account));
     }
 
     /// Quarantines a request: it is not sent any more, and attempts that upstreams have not started are withdrawn.
-    fn quarantine(&mut self, print: Print) {
+    fn quarantine(&mut self, fingerprint: Print) {
         self.count(Counter::Quarantined);
         let suspects = &self.crash_suspects;
-        let own = suspects.has_witnessed(&suspects.quarantined[&print]);
-        let ends = suspects.account.of(print);
-        self.push_quarantine_effect(effect::Quarantine::Refuse { ends, own, print });
+        let own = suspects.has_witnessed(&suspects.quarantined[&fingerprint]);
+        let ends = suspects.account.of(fingerprint);
+        self.push_quarantine_effect(effect::Quarantine::Refuse {
+            ends,
+            own,
+            print: fingerprint,
+        });
         let affected: Vec<request::Key> = self
             .requests
             .iter()
-            .filter(|(_, request)| request.print == print)
+            .filter(|(_, request)| request.print == fingerprint)
             .map(|(key, _)| key)
             .collect();
         for key in affected {
@@ -273,14 +283,14 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let print = request.print;
+        let fingerprint = request.print;
         let life = self.upstreams.get(upstream).map(|upstream| upstream.life);
         let pending = life.filter(|life| {
             let pending = self.crash_suspects.pending.get(life);
             pending.is_some_and(|pending| !pending.answered)
         });
         match pending {
-            Some(life) if self.crash_suspects.crash_count(print) >= quarantine::GUILTY => {
+            Some(life) if self.crash_suspects.crash_count(fingerprint) >= quarantine::GUILTY => {
                 self.crash_suspects.held.push(Held {
                     life,
                     reason,
@@ -321,11 +331,11 @@
     /// Number of this instance's requests at an upstream from which a request should be kept apart. For one that was involved
     /// in a crash these are all that were, so that the next crash tells them apart; for any other, those involved in two, so
     /// that it is not involved in their third.
-    pub(crate) fn suspects_at(&self, print: Print, candidate: upstream::Key) -> usize {
+    pub(crate) fn suspects_at(&self, fingerprint: Print, candidate: upstream::Key) -> usize {
         if self.crash_suspects.is_idle() {
             return 0;
         }
-        let min_crashes = if self.crash_suspects.is_suspect(print) {
+        let min_crashes = if self.crash_suspects.is_suspect(fingerprint) {
             1
         } else {
             ISOLATION_CRASHES
@@ -333,7 +343,7 @@
         let attempts = self.upstreams[candidate].attempts.iter();
         let others = attempts.map(|attempt| self.requests[self.attempts[*attempt].request].print);
         let suspects = others.filter(|other| {
-            *other != print && self.crash_suspects.crash_count(*other) >= min_crashes
+            *other != fingerprint && self.crash_suspects.crash_count(*other) >= min_crashes
         });
         suspects.count()
     }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -135,7 +135,7 @@
         self.choose_subsets();
         self.listed = Some(asked_at);
         self.submit_early();
-        self.pump_all();
+        self.dispatch_all_queued();
     }
 
     /// Handles the result of a probe.
@@ -197,7 +197,7 @@
             self.schedule_limit_probes();
             self.expire_requests();
         }
-        self.pump_all();
+        self.dispatch_all_queued();
     }
 
     /// Selects this instance's subset of each pool: the upstreams that its identity ranks first among those that are neither
@@ -392,7 +392,7 @@
         });
     }
 
-    fn pump_all(&mut self) {
+    fn dispatch_all_queued(&mut self) {
         let waiting: Vec<Arc<str>> = self
             .pools
             .iter()
