--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -45,7 +45,7 @@
 /// The refusal of an instance that has no configuration yet. Without the platform's store none is to
 /// be had, so a caller who waits long is asked to come back late.
 fn not_ready(submission: &event::Submission) -> Refusal {
-    let patience = submission.work.relay().and_then(|relay| relay.patience_ms);
+    let patience = submission.work.relay().and_then(|relay| relay.timeout_ms);
     let wait = patience.map_or(0, |patience| patience / NOT_READY_PART);
     Refusal {
         kind: Kind::NotReady,
@@ -73,17 +73,17 @@
     fn knows_enough(&self, submission: &event::Submission) -> bool {
         let goes_on = |relay: &request::Relay| relay.position > 0;
         let goes_on = submission.work.relay().is_some_and(goes_on);
-        self.config.is_some() && self.listed.is_some() && (self.recalled || !goes_on)
+        self.config.is_some() && self.list_read_at.is_some() && (self.recalled || !goes_on)
     }
 
     /// All streams that were kept before the start are known.
     pub(crate) fn recalled(&mut self) {
         self.recalled = true;
-        self.submit_early();
+        self.submit_deferred();
     }
 
     /// Takes what waited and can be served now, and what has waited long enough.
-    pub(crate) fn submit_early(&mut self) {
+    pub(crate) fn submit_deferred(&mut self) {
         for early in std::mem::take(&mut self.early) {
             if self.now < early.until && !self.knows_enough(&early.submission) {
                 self.early.push(early);
@@ -98,7 +98,7 @@
         let mut submission = early.submission;
         let waited = self.now.since(early.came);
         if let Work::Relay(relay) = &mut submission.work {
-            let patience = relay.patience_ms.as_mut();
+            let patience = relay.timeout_ms.as_mut();
             if let Some(patience) = patience {
                 *patience = patience.saturating_sub(waited);
             }
@@ -109,7 +109,7 @@
     /// Until when a request may wait for what this instance does not know yet: a part of its caller's patience,
     /// as far as there is memory for it. The store may be back before.
     fn early_until(&self, submission: &event::Submission) -> Option<Time> {
-        let patience = submission.work.relay()?.patience_ms?;
+        let patience = submission.work.relay()?.timeout_ms?;
         let wait = (patience as f64 * self.settings.room.early) as u64;
         let bytes = |early: &Early| early.submission.work.bytes();
         let held: u64 = self.early.iter().map(bytes).sum();
@@ -230,7 +230,7 @@
                 retry_after_ms: Some(wait.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end())),
             });
         }
-        if !self.reachable(service.pool()) {
+        if !self.is_reachable(service.pool()) {
             return Err(Refusal {
                 kind: Kind::NoUpstream,
                 retry_after_ms: Some(self.settings.probe_ms),
@@ -335,7 +335,7 @@
     }
 
     /// Whether a pool has an upstream that is neither given up on nor leaving.
-    pub(crate) fn reachable(&self, pool: &str) -> bool {
+    pub(crate) fn is_reachable(&self, pool: &str) -> bool {
         self.pools.get(pool).is_some_and(|pool| {
             pool.upstreams
                 .iter()
@@ -369,12 +369,14 @@
             ),
         };
         let relay = submission.work.relay();
-        let patience_ms = relay.and_then(|relay| relay.patience_ms);
+        let patience_ms = relay.and_then(|relay| relay.timeout_ms);
         let deadline_ms = service.deadline_ms.min(patience_ms.unwrap_or(u64::MAX));
         let waited_ms = self.waited_ms(&service, patience_ms);
         let objective = service.relay().map_or(u64::MAX, |relay| relay.objective_ms);
-        let wanted_by = self.now.after(objective).0.saturating_sub(waited_ms);
-        let passage = relay.map_or_else(request::Passage::default, |relay| self.passage(relay));
+        let first_event_due = self.now.after(objective).0.saturating_sub(waited_ms);
+        let progress = relay.map_or_else(request::RelayProgress::default, |relay| {
+            self.progress(relay)
+        });
         let claim = if cursor.is_none() && !service.repeatable && relay.is_none() {
             let key = submission.key.ok_or(Kind::KeyRequired)?;
             let nonce = self.rng.random();
@@ -399,10 +401,10 @@
             return Err(Kind::BadCursor);
         }
         Ok(Request {
-            asked: self.now,
+            arrived_at: self.now,
             attach: cursor,
             attempts: Vec::new(),
-            avoid: None,
+            avoided_upstream: None,
             caller: submission.caller,
             claim,
             claim_asked: self.now,
@@ -417,13 +419,13 @@
             held: 0,
             may_have_run: cursor.is_some(),
             number: cursor.map_or(0, |cursor| cursor.attempt),
-            passage,
+            progress,
             print,
             send_by: self.now.after(service.max_wait_ms),
             sent: None,
             service,
             waited_ms,
-            wanted_by: Time(wanted_by),
+            first_event_due: Time(first_event_due),
             skip: cursor.map_or(0, |cursor| cursor.position),
             skip_digest: cursor.map_or_else(Digest::default, |cursor| cursor.digest),
             state: State::Queued,
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -14,9 +14,9 @@
     /// them.
     pub ahead_tokens: u32,
     /// When its first token or event came.
-    pub began: Option<Time>,
+    pub first_event_at: Option<Time>,
     /// Last time anything came from the upstream on this stream, or the time of sending.
-    pub last: Time,
+    pub last_event_at: Time,
     /// Upstream that keeps a copy of the run's memory, for relayed streams.
     pub backup: Option<upstream::Key>,
     /// The copy of the run's memory that it goes on from, if any.
@@ -28,7 +28,7 @@
     /// Whether it was given to the edge for sending; before that its key may be in claim.
     pub sent: bool,
     /// When it was made.
-    pub sent_at: Time,
+    pub created_at: Time,
     /// Whether a token has come on this stream.
     pub started: bool,
     /// Whether the stream is suspected, and a continuation was considered.
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -80,7 +80,7 @@
     pub(crate) hedges: Budget,
     pub(crate) held: u64,
     pub(crate) instances: u32,
-    pub(crate) identity: u64,
+    pub(crate) seed: u64,
     /// Upstreams by their lives; of each name at most one.
     pub(crate) lives: sighting::Lives,
     pub(crate) members: Members,
@@ -89,7 +89,7 @@
     pub(crate) patiences: HashMap<String, patience::Longest>,
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
     /// When the store last showed the list of upstreams; `None` before it was read.
-    pub(crate) listed: Option<Time>,
+    pub(crate) list_read_at: Option<Time>,
     /// Whether the streams that were kept before its start are known.
     pub(crate) recalled: bool,
     pub(crate) reclaims: Vec<(Time, request::Key)>,
@@ -104,13 +104,13 @@
     /// What upstreams said of themselves that are listed no more.
     pub(crate) standings: notice::Standings,
     /// Until when the list is not trusted, since this instance was paused.
-    pub(crate) stale_until: Time,
+    pub(crate) list_stale_until: Time,
     /// What is believed of requests that end their upstreams.
     pub(crate) suspicion: Suspicion,
-    pub(crate) swept: Time,
+    pub(crate) swept_at: Time,
     pub(crate) upstreams: SlotMap<upstream::Key, Upstream>,
     /// When it last woke from a pause.
-    pub(crate) woken: Time,
+    pub(crate) woken_at: Time,
 }
 
 impl Core {
@@ -139,52 +139,55 @@
         }
         match event {
             Event::Answered { attempt, verdict } => self.answered(attempt, verdict),
-            Event::Blamed(life) => self.blamed(life),
+            Event::LostReported(life) => self.blamed(life),
             Event::CallerGone(caller) => self.caller_gone(caller),
-            Event::Carried { attempt, load } => self.carried(attempt, load),
-            Event::Checked { ended, life } => self.checked(life, ended),
+            Event::PiggybackedLoad { attempt, load } => self.carried(attempt, load),
+            Event::CrashChecked { ended, life } => self.checked(life, ended),
             Event::Claimed { request, outcome } => self.claimed(request, outcome),
-            Event::Closed { attempt, marked } => self.closed(attempt, marked),
+            Event::StreamEnded { attempt, marked } => self.closed(attempt, marked),
             Event::Config(config) => self.adopt(config),
-            Event::Crashed(account) => self.crashed(&account),
-            Event::Departing(life) => self.departing(life),
-            Event::Demanded { demand, from } => self.demanded(from, &demand),
+            Event::CrashReported(account) => self.crashed(&account),
+            Event::LeavingReported(life) => self.departing(life),
+            Event::DemandReported { demand, from } => self.demanded(from, &demand),
             Event::Failed { attempt, failure } => self.failed(attempt, failure),
-            Event::Finished {
+            Event::GenerationFinished {
                 attempt,
                 position,
                 reason,
             } => self.finished(attempt, position, reason),
             Event::Instances(view) => self.see_members(view),
             Event::Leaving(name) => self.hint_leaving(&name),
-            Event::List { asked, listed } => self.list(asked, listed.as_deref()),
-            Event::Limited { life, rate } => self.limit_told(life, rate),
+            Event::List {
+                requested_at: asked,
+                entries: listed,
+            } => self.list(asked, listed.as_deref()),
+            Event::LimitReported { life, rate } => self.limit_told(life, rate),
             Event::Load { upstream, load } => self.report(upstream, load),
-            Event::Noticed {
+            Event::NoticeReceived {
                 attempt,
                 notice,
                 upstream,
             } => self.noticed(upstream, attempt, &notice),
-            Event::Opened(attempt) => self.opened(attempt),
-            Event::Paced(pace) => self.paced(&pace),
-            Event::Passed {
+            Event::StreamOpened(attempt) => self.opened(attempt),
+            Event::PaceReported(pace) => self.paced(&pace),
+            Event::StreamEvent {
                 attempt,
                 bytes,
                 position,
             } => self.passed(attempt, position, bytes),
             Event::Probed { upstream, alive } => self.probed(upstream, alive),
-            Event::Recalled => self.recalled(),
+            Event::StreamsRestored => self.recalled(),
             Event::Replied {
                 attempt,
                 body,
                 status,
             } => self.replied(attempt, status, body),
-            Event::Sighted(sighting) => self.sighted(sighting),
+            Event::StreamReported(sighting) => self.sighted(sighting),
             Event::Submit(submission) => self.submit(*submission),
             Event::Tick => self.tick(),
             Event::Tokens {
                 attempt,
-                pieces,
+                tokens: pieces,
                 position,
             } => self.tokens(attempt, position, pieces),
         }
@@ -203,9 +206,9 @@
             effects: Vec::new(),
             hedges: Budget::new(BUDGET, BUDGET_REFILL, now),
             held: 0,
-            identity: seed,
+            seed,
             instances: 1,
-            listed: None,
+            list_read_at: None,
             lives: BTreeMap::new(),
             members: Members::default(),
             now,
@@ -220,12 +223,12 @@
             secret,
             settings,
             sightings: sighting::Sightings::default(),
-            stale_until: Time::default(),
+            list_stale_until: Time::default(),
             standings: notice::Standings::default(),
             suspicion: Suspicion::default(),
-            swept: now,
+            swept_at: now,
             upstreams: SlotMap::with_key(),
-            woken: Time::default(),
+            woken_at: Time::default(),
         }
     }
 
@@ -236,7 +239,7 @@
 
     /// The same instance, standing in a data centre: it prefers upstreams that stand there too.
     #[must_use]
-    pub fn standing_in(mut self, data_centre: &str) -> Self {
+    pub fn in_data_centre(mut self, data_centre: &str) -> Self {
         self.data_centre = data_centre.into();
         self
     }
@@ -244,7 +247,7 @@
     /// The same instance, which is still to be told of streams that were kept before its start, and then that
     /// these are all.
     #[must_use]
-    pub fn recalling(mut self) -> Self {
+    pub fn restoring_streams(mut self) -> Self {
         self.recalled = false;
         self
     }
@@ -254,7 +257,7 @@
         if config.revision > current || self.config.is_none() {
             self.config = Some(config);
             self.settle_addresses();
-            self.submit_early();
+            self.submit_deferred();
         }
         let after = self.revision().unwrap_or(0);
         self.check(after >= current, Invariant::NeverReverts);
@@ -276,21 +279,21 @@
     pub(crate) fn note(
         &mut self,
         request: &Request,
-        what: effect::What,
+        step: effect::Step,
         upstream: Option<upstream::Key>,
     ) {
-        let note = self.noted(request, what, upstream);
+        let note = self.noted(request, step, upstream);
         self.effects.push(note);
     }
 
     pub(crate) fn noted(
         &self,
         request: &Request,
-        what: effect::What,
+        step: effect::Step,
         upstream: Option<upstream::Key>,
     ) -> Effect {
         let upstream = upstream.and_then(|key| self.upstreams.get(key));
-        Effect::Note(effect::Note {
+        Effect::LogRequest(effect::RequestLog {
             customer: request.customer.clone(),
             generation: request.generation,
             position: request.position(),
@@ -298,7 +301,7 @@
             run: request.work.relay().map(|relay| relay.run.clone()),
             service: request.service.clone(),
             upstream: upstream.map(|upstream| upstream.name.clone()),
-            what,
+            step,
         })
     }
 
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -460,7 +460,8 @@
                 running,
                 takes_ms: pool.demands.takes_ms,
             };
-            self.effects.push(Effect::Demand { demand, pressed });
+            self.effects
+                .push(Effect::AnnounceDemand { demand, pressed });
         }
     }
 
@@ -480,7 +481,7 @@
             return;
         };
         let millis = if answered {
-            now.since(attempt.sent_at)
+            now.since(attempt.created_at)
         } else {
             (whole.takes_ms * TURNED_AWAY) as u64
         };
@@ -535,7 +536,7 @@
         let attempts = self
             .upstreams_of(pool)
             .flat_map(|upstream| &upstream.attempts);
-        let fresh = attempts.filter(|key| self.now.since(self.attempts[**key].sent_at) < hung);
+        let fresh = attempts.filter(|key| self.now.since(self.attempts[**key].created_at) < hung);
         (fresh.count() + pool.queue.len()) as u32
     }
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -18,12 +18,12 @@
         } else {
             queue.push(request.service.priority, &request.customer, key, self.now);
         }
-        self.pump(&pool);
-        self.waits(key);
+        self.dispatch_queued(&pool);
+        self.wait_for_room(key);
     }
 
     /// Notes that a relayed request found no room, if it waits. One that is known to find none in time is given up on.
-    fn waits(&mut self, key: request::Key) {
+    fn wait_for_room(&mut self, key: request::Key) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
@@ -46,7 +46,7 @@
     }
 
     /// Sends what waits in a pool, as far as upstreams have room.
-    pub(crate) fn pump(&mut self, name: &str) {
+    pub(crate) fn dispatch_queued(&mut self, name: &str) {
         loop {
             let Some(pool) = self.pools.get_mut(name) else {
                 return;
@@ -114,7 +114,7 @@
     }
 
     /// Asks once more for the claims of continuations that the platform did not settle.
-    pub(crate) fn reclaim(&mut self) {
+    pub(crate) fn retry_claims(&mut self) {
         let now = self.now;
         let due: Vec<request::Key> = self
             .reclaims
@@ -184,12 +184,12 @@
         let generation = request.generation;
         let attempt = self.open(key, upstream);
         self.attempts[attempt].sent = true;
-        let note = self.noted(&self.requests[key], effect::What::Attached, Some(upstream));
+        let note = self.noted(&self.requests[key], effect::Step::Attached, Some(upstream));
         self.effects.push(note);
         self.effects.push(Effect::Send {
             address: self.upstreams[upstream].address,
             attempt,
-            sending: effect::Sending::Attach {
+            outbound: effect::Outbound::Attach {
                 position,
                 stream: effect::Stream { generation, number },
             },
@@ -220,13 +220,13 @@
         let attempt = self.attempts.insert(Attempt {
             ahead_tokens: 0,
             backup: None,
-            began: None,
+            first_event_at: None,
             copy: None,
-            last: self.now,
+            last_event_at: self.now,
             number: request.number,
             request: key,
             sent: false,
-            sent_at: self.now,
+            created_at: self.now,
             started: false,
             suspected: false,
             upstream,
@@ -256,9 +256,9 @@
         let (address, leaves) = (upstream.address, upstream.leaves(self.now));
         let rests = upstream.rests(self.now);
         let (number, owner) = (attempt.number, attempt.request);
-        let sending = match request.work {
+        let outbound = match request.work {
             Work::Relay(_) => self.relaying(key),
-            Work::Call { .. } | Work::Generate { .. } => request.sending(number, &self.settings),
+            Work::Call { .. } | Work::Generate { .. } => request.outbound(number, &self.settings),
         };
         let guilty = self.is_guilty(request.print);
         let permitted = self.upstreams[upstream_key].spend(self.now);
@@ -274,9 +274,9 @@
             return;
         }
         self.attempts[key].sent = true;
-        self.attempts[key].last = self.now;
+        self.attempts[key].last_event_at = self.now;
         self.requests[owner].sent.get_or_insert(self.now);
-        self.requests[owner].passage.reached += 1;
+        self.requests[owner].progress.reached += 1;
         let upstream = self.attempts[key].upstream;
         let what = self.sent(key);
         let note = self.noted(&self.requests[owner], what, Some(upstream));
@@ -284,20 +284,20 @@
         self.effects.push(Effect::Send {
             address,
             attempt: key,
-            sending,
+            outbound,
             upstream,
         });
     }
 
     /// What is noted of an attempt that is sent.
-    fn sent(&self, key: attempt::Key) -> effect::What {
+    fn sent(&self, key: attempt::Key) -> effect::Step {
         let attempt = &self.attempts[key];
         let backup = attempt.backup.and_then(|key| self.upstreams.get(key));
-        effect::What::Sent {
+        effect::Step::Sent {
             backup: backup.map(|upstream| upstream.name.clone()),
             copy: attempt.copy.as_ref().map(|copy| copy.run.clone()),
             left_ms: self.requests[attempt.request].deadline.since(self.now),
-            list_age_ms: self.listed.map_or(0, |listed| self.now.since(listed)),
+            list_age_ms: self.list_read_at.map_or(0, |listed| self.now.since(listed)),
         }
     }
 
@@ -310,7 +310,7 @@
             return;
         };
         let upstream = &self.upstreams[self.attempts[attempt].upstream];
-        if upstream.takes_work(self.now) && self.now >= self.stale_until {
+        if upstream.takes_work(self.now) && self.now >= self.list_stale_until {
             self.send(attempt);
             return;
         }
@@ -348,7 +348,7 @@
 
 impl Request {
     /// What an attempt sends.
-    fn sending(&self, number: u32, settings: &Settings) -> effect::Sending {
+    fn outbound(&self, number: u32, settings: &Settings) -> effect::Outbound {
         match (&self.work, &self.service.target) {
             (
                 Work::Generate {
@@ -357,7 +357,7 @@
                     ..
                 },
                 config::Target::Generate { adapter, model },
-            ) => effect::Sending::Generate {
+            ) => effect::Outbound::Generate {
                 adapter: adapter.clone(),
                 linger_ms: settings.linger_ms,
                 max_tokens: *max_tokens,
@@ -370,7 +370,7 @@
                     number,
                 },
             },
-            (work, _) => effect::Sending::Call {
+            (work, _) => effect::Outbound::Call {
                 path: work.path(),
                 payload: work.payload(),
                 repeatable: self.service.repeatable,
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -13,7 +13,7 @@
 
 /// What is to be sent to an upstream.
 #[derive(Clone, Debug)]
-pub enum Sending {
+pub enum Outbound {
     /// Go on reading a stream that the engine still runs.
     Attach {
         /// Position of the first token wanted.
@@ -74,7 +74,7 @@
 
 /// A step in the life of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum What {
+pub enum Step {
     /// It was answered whole.
     Answered,
     /// It was re-attached to its stream.
@@ -100,7 +100,7 @@
 
 /// A change of what is believed of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Belief {
+pub enum StatusChange {
     /// It went wrong and gets no new work for a while.
     Doubted,
     /// It is no longer listed and runs nothing.
@@ -131,7 +131,7 @@
 
 /// A step in the life of a request, with what it was decided by.
 #[derive(Clone, Debug)]
-pub struct Note {
+pub struct RequestLog {
     /// Customer.
     pub customer: Arc<config::Customer>,
     /// Identity of the request.
@@ -147,10 +147,10 @@
     /// Upstream concerned.
     pub upstream: Option<Arc<str>>,
     /// What happened.
-    pub what: What,
+    pub step: Step,
 }
 
-impl Belief {
+impl StatusChange {
     /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -175,7 +175,7 @@
 #[derive(Clone, Debug)]
 pub enum Quarantine {
     /// Find out whether an upstream has ended whose connections broke.
-    Check {
+    CheckCrash {
         /// Where it listens.
         address: SocketAddr,
         /// The upstream.
@@ -183,14 +183,14 @@
     },
     /// Log that a request which was refused is not any more, and have it forgotten where it is kept: another one explains the
     /// ends, or they lapsed.
-    Free {
+    Release {
         /// Whether this instance saw one of the ends itself, and so had the request kept.
         own: bool,
         /// The request.
         print: Print,
     },
     /// Hold ready what is known of unplanned ends of upstreams, which has changed.
-    Keep(Account),
+    Publish(Account),
     /// Log that a request is refused from now on, and have it refused after the loss of all instances too.
     Refuse {
         /// The ends that it is guilty by.
@@ -201,18 +201,18 @@
         print: Print,
     },
     /// Tell other instances of unplanned ends of upstreams.
-    Tell(Account),
+    Announce(Account),
 }
 
 /// What the core wants done.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Give a caller the whole answer that the edge holds.
-    Answer(request::Caller),
+    ForwardResponse(request::Caller),
     /// Log that something else is believed of an upstream.
-    Believe {
+    LogUpstream {
         /// What is believed now.
-        belief: Belief,
+        change: StatusChange,
         /// When its life began, in milliseconds since the Unix epoch; 0 where it does not say.
         born: u64,
         /// Time since anything came from it, in milliseconds.
@@ -221,7 +221,7 @@
         upstream: Arc<str>,
     },
     /// Tell other instances that an upstream was lost.
-    Blame(Life),
+    AnnounceLost(Life),
     /// Stop an attempt and tell the engine, if it is a stream.
     Cancel {
         /// Where the upstream listens.
@@ -239,11 +239,11 @@
         request: request::Key,
     },
     /// A relayed stream is whole.
-    Close(request::Caller),
+    EndStream(request::Caller),
     /// Count something.
     Count(Counter, u64),
     /// Break off a relayed stream, so that its caller sees that it is not whole.
-    Cut(request::Caller),
+    AbortStream(request::Caller),
     /// Give tokens to a caller.
     Deliver {
         /// The caller.
@@ -251,12 +251,12 @@
         /// Encoded cursor after these tokens.
         cursor: [u8; cursor::LENGTH],
         /// The tokens.
-        pieces: Vec<Piece>,
+        tokens: Vec<OutputToken>,
         /// Position of the first of them.
         position: u32,
     },
     /// Tell other instances what this one is asked of a pool.
-    Demand {
+    AnnounceDemand {
         /// What it is asked.
         demand: Demand,
         /// Whether the pool is near what it can serve, so that others must know soon.
@@ -283,27 +283,27 @@
         reason: String,
     },
     /// Tell other instances that an upstream is leaving.
-    Leaving {
+    AnnounceLeaving {
         /// Its life.
         life: Life,
         /// Its name.
         upstream: Arc<str>,
     },
     /// Tell other instances what an upstream takes from all of them together.
-    Limit {
+    AnnounceLimit {
         /// Its life.
         life: Life,
         /// The limit; `None` if it names none any more.
         rate: Option<limit::Rate>,
     },
     /// Log a step in the life of a request.
-    Note(Note),
+    LogRequest(RequestLog),
     /// Give a caller the head of a stream that the edge holds.
-    Open(request::Caller),
+    ForwardHead(request::Caller),
     /// Tell other instances how fast the engines of a pool work.
-    Pace(Pace),
+    AnnouncePace(Pace),
     /// Give a caller one event of a relayed stream.
-    Pass {
+    ForwardEvent {
         /// The event.
         bytes: Arc<[u8]>,
         /// The caller.
@@ -334,12 +334,12 @@
         /// The attempt that this is.
         attempt: attempt::Key,
         /// What is sent.
-        sending: Sending,
+        outbound: Outbound,
         /// The upstream.
         upstream: upstream::Key,
     },
     /// Tell other instances of a relayed stream.
-    Tell(Sighting),
+    AnnounceStream(Sighting),
     /// Note how long something took, in milliseconds.
-    Timed(Timing, u64),
+    RecordDuration(Timing, u64),
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -4,11 +4,11 @@
 
 /// One token of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Piece {
+pub struct OutputToken {
     /// Text of the token.
     pub text: String,
     /// Token id.
-    pub token: u32,
+    pub id: u32,
 }
 
 /// How an attempt failed.
@@ -85,7 +85,7 @@
 
 /// An instance in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listed {
+pub struct ListEntry {
     /// Where it listens.
     pub address: SocketAddr,
     /// When it started, by its own clock, in milliseconds since the Unix epoch; 0 where it does not say.
@@ -107,7 +107,7 @@
     pub version: String,
 }
 
-impl Listed {
+impl ListEntry {
     /// The life that the entry speaks of.
     pub fn life(&self) -> Life {
         Life::new(&self.name, self.born)
@@ -125,18 +125,18 @@
         verdict: Verdict,
     },
     /// Another instance lost an upstream.
-    Blamed(Life),
+    LostReported(Life),
     /// The caller's connection is closed.
     CallerGone(request::Caller),
     /// A load report came along with the tokens of a stream, and is as old as they are.
-    Carried {
+    PiggybackedLoad {
         /// The attempt.
         attempt: attempt::Key,
         /// The report.
         load: Load,
     },
     /// It is known whether an upstream has ended whose connections broke.
-    Checked {
+    CrashChecked {
         /// Whether nobody listens at its address.
         ended: bool,
         /// The upstream.
@@ -150,7 +150,7 @@
         outcome: ClaimOutcome,
     },
     /// A relayed stream ended without an error.
-    Closed {
+    StreamEnded {
         /// The attempt.
         attempt: attempt::Key,
         /// Whether the end was marked; else it may be that the upstream was lost between two events.
@@ -159,16 +159,16 @@
     /// A configuration was read from the platform or a peer.
     Config(Arc<Config>),
     /// Another instance, or the store, told of unplanned ends of upstreams.
-    Crashed(Box<Account>),
+    CrashReported(Box<Account>),
     /// Another instance told what it is asked of a pool of plain services.
-    Demanded {
+    DemandReported {
         /// What it is asked.
         demand: Demand,
         /// Where it listens.
         from: SocketAddr,
     },
     /// Another instance heard from an upstream itself that it is leaving.
-    Departing(Life),
+    LeavingReported(Life),
     /// An attempt ended without a whole answer.
     Failed {
         /// The attempt.
@@ -177,7 +177,7 @@
         failure: Failure,
     },
     /// A generation's stream ended as it should.
-    Finished {
+    GenerationFinished {
         /// The attempt.
         attempt: attempt::Key,
         /// Tokens of the whole answer.
@@ -190,7 +190,7 @@
     /// An upstream is leaving; from the list, a peer, or its own word.
     Leaving(String),
     /// Another instance heard the limit of an upstream.
-    Limited {
+    LimitReported {
         /// The upstream.
         life: Life,
         /// What it takes from all instances together; `None` if it names no limit any more.
@@ -199,9 +199,9 @@
     /// The platform's list.
     List {
         /// When it was asked for.
-        asked: Time,
+        requested_at: Time,
         /// Its lines; `None` if they are those of the last read.
-        listed: Option<Vec<Listed>>,
+        entries: Option<Vec<ListEntry>>,
     },
     /// A load report.
     Load {
@@ -211,7 +211,7 @@
         load: Load,
     },
     /// An upstream said something of itself beside an answer, which comes behind this.
-    Noticed {
+    NoticeReceived {
         /// The attempt that it answered.
         attempt: attempt::Key,
         /// What it said.
@@ -220,11 +220,11 @@
         upstream: upstream::Key,
     },
     /// A relayed stream began; the edge holds its head.
-    Opened(attempt::Key),
+    StreamOpened(attempt::Key),
     /// Another instance told how fast the engines of a pool work.
-    Paced(Pace),
+    PaceReported(Pace),
     /// One whole event of a relayed stream.
-    Passed {
+    StreamEvent {
         /// The attempt.
         attempt: attempt::Key,
         /// The event as the upstream wrote it.
@@ -240,7 +240,7 @@
         alive: bool,
     },
     /// All streams that were kept before the start of this instance have been told.
-    Recalled,
+    StreamsRestored,
     /// A plain service answered.
     Replied {
         /// The attempt.
@@ -251,7 +251,7 @@
         status: u16,
     },
     /// Another instance told of a stream that it relays.
-    Sighted(Sighting),
+    StreamReported(Sighting),
     /// A request arrived.
     Submit(Box<Submission>),
     /// Time passed.
@@ -261,7 +261,7 @@
         /// The attempt.
         attempt: attempt::Key,
         /// The tokens.
-        pieces: Vec<Piece>,
+        tokens: Vec<OutputToken>,
         /// Position of the first of them in the whole answer.
         position: u32,
     },
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -38,7 +38,7 @@
             Failure::Refused => self.refused(attempt.upstream),
             Failure::Rejected | Failure::UnknownStream => {}
         }
-        self.requests[request].avoid = Some(attempt.upstream);
+        self.requests[request].avoided_upstream = Some(attempt.upstream);
         if failure == Failure::Broken {
             self.suspect(&attempt);
         }
@@ -51,12 +51,12 @@
             return;
         };
         let request = &mut self.requests[attempt.request];
-        request.avoid = Some(attempt.upstream);
+        request.avoided_upstream = Some(attempt.upstream);
         request.may_have_run |= attempt.sent;
         if request.work.relay().is_some() {
             self.keep_copy(&attempt);
             self.note_lost(&attempt, reason);
-            self.relay_again(attempt.request, reason);
+            self.retry_relay(attempt.request, reason);
             return;
         }
         self.recover(attempt.request, reason);
@@ -108,18 +108,18 @@
         let Some(request) = self.remove(key) else {
             return;
         };
-        self.note(&request, effect::What::Failed(kind), None);
+        self.note(&request, effect::Step::Failed(kind), None);
         self.tell_over(&request, sighting::Stage::Left);
         let pool = request.service.pool();
-        if request.passage.opened {
+        if request.progress.opened {
             self.count(Counter::Refused(kind));
-            self.effects.push(Effect::Cut(request.caller));
-            self.pump(pool);
+            self.effects.push(Effect::AbortStream(request.caller));
+            self.dispatch_queued(pool);
             return;
         }
-        if request.passage.fault {
-            self.effects.push(Effect::Answer(request.caller));
-            self.pump(pool);
+        if request.progress.fault {
+            self.effects.push(Effect::ForwardResponse(request.caller));
+            self.dispatch_queued(pool);
             return;
         }
         if not_run {
@@ -135,7 +135,7 @@
             }
         });
         self.refuse(request.caller, kind, retry_after_ms);
-        self.pump(pool);
+        self.dispatch_queued(pool);
     }
 
     /// Gives up on a request: `unsent` if no upstream can have run it, else `sent`.
--- a/crates/core/src/lesson.rs
+++ b/crates/core/src/lesson.rs
@@ -138,7 +138,7 @@
     /// They are to be told that another configuration is in force.
     TellConfiguration,
     /// The upstreams as they are believed now.
-    Upstreams(Vec<Listed>),
+    Upstreams(Vec<ListEntry>),
 }
 
 /// What an instance knows of the store.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -70,7 +70,7 @@
     detector::Detector,
     digest::Digest,
     effect::Effect,
-    event::{Event, Failure, Listed, Piece},
+    event::{Event, Failure, ListEntry, OutputToken},
     gauge::{Gauge, Pace},
     invariant::Invariant,
     kind::Kind,
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -191,7 +191,7 @@
         if news || now.since(part.told) >= TELL_MS {
             part.told = now;
             let rate = Some(rate);
-            self.effects.push(Effect::Limit { life, rate });
+            self.effects.push(Effect::AnnounceLimit { life, rate });
         }
     }
 
@@ -200,13 +200,14 @@
         let Some(part) = &self.upstreams[key].part else {
             return;
         };
-        let sent = self.attempts.get(attempt).map(|attempt| attempt.sent_at);
+        let sent = self.attempts.get(attempt).map(|attempt| attempt.created_at);
         if sent.is_none_or(|sent| sent <= part.heard) {
             return;
         }
         self.lift(key);
         let life = self.upstreams[key].life;
-        self.effects.push(Effect::Limit { life, rate: None });
+        self.effects
+            .push(Effect::AnnounceLimit { life, rate: None });
     }
 
     /// Another instance heard a limit from an upstream, or that it names none any more.
@@ -236,7 +237,7 @@
         part.questioned = now.after(UNHEARD_MS + spread);
         if news {
             self.divide(key, rate);
-            self.believe(key, effect::Belief::Limited);
+            self.believe(key, effect::StatusChange::Limited);
         }
         news
     }
@@ -254,9 +255,9 @@
 
     fn lift(&mut self, key: upstream::Key) {
         if self.upstreams[key].part.take().is_some() {
-            self.believe(key, effect::Belief::Unlimited);
+            self.believe(key, effect::StatusChange::Unlimited);
             let pool = self.upstreams[key].pool.clone();
-            self.pump(&pool);
+            self.dispatch_queued(&pool);
         }
     }
 
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -164,7 +164,7 @@
         let standing = &mut self.upstreams[key].standing;
         standing.rests_until = standing.rests_until.max(until);
         if !rested && millis > 0 {
-            self.believe(key, effect::Belief::Resting);
+            self.believe(key, effect::StatusChange::Resting);
         }
         self.refuse_resting(key);
     }
@@ -220,7 +220,7 @@
     fn last_begin(&self, request: &Request) -> Time {
         let pool = self.pools.get(request.service.pool());
         let takes = pool.map_or(0.0, |pool| pool.demands.takes_ms());
-        let last = request.wanted_by.0.saturating_sub(takes as u64);
+        let last = request.first_event_due.0.saturating_sub(takes as u64);
         request.send_by.max(Time(last))
     }
 
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -42,12 +42,12 @@
 impl Core {
     /// The upstream for a relayed request; `None` if it must wait for one.
     pub(crate) fn place(&mut self, key: request::Key) -> Option<upstream::Key> {
-        if let Some(copy) = &self.requests[key].passage.copy
+        if let Some(copy) = &self.requests[key].progress.copy
             && self.may_have(copy.upstream)
         {
             return Some(copy.upstream);
         }
-        let prefer = self.requests[key].passage.prefer.take();
+        let prefer = self.requests[key].progress.preferred_upstream.take();
         if let Some(prefer) = prefer
             && self.may_have(prefer)
         {
@@ -114,7 +114,7 @@
             stay.retain(live);
         }
         if stay.len() > 1 {
-            stay.retain(|other| Some(*other) != request.avoid);
+            stay.retain(|other| Some(*other) != request.avoided_upstream);
         }
         stay
     }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -26,20 +26,20 @@
             self.upstreams[attempt.upstream].trouble.add(self.now);
             let request = &mut self.requests[owner];
             request.may_have_run = true;
-            request.avoid = Some(attempt.upstream);
+            request.avoided_upstream = Some(attempt.upstream);
             if self.may_go_on(owner) && self.may_repeat_fault(owner) {
-                self.requests[owner].passage.fault = !self.requests[owner].passage.opened;
+                self.requests[owner].progress.fault = !self.requests[owner].progress.opened;
                 self.keep_copy(&attempt);
                 self.note_lost(&attempt, counter::Reason::Fault);
-                self.relay_again(owner, counter::Reason::Fault);
+                self.retry_relay(owner, counter::Reason::Fault);
                 return;
             }
         }
-        if self.requests[owner].passage.opened {
+        if self.requests[owner].progress.opened {
             self.fail(owner, Kind::UpstreamFailed);
             return;
         }
-        self.complete(owner, attempt.upstream, Effect::Answer);
+        self.complete(owner, attempt.upstream, Effect::ForwardResponse);
     }
 
     /// Whether a request that an upstream failed is sent on. What fails by itself fails everywhere, and while a service is nearly
@@ -58,13 +58,13 @@
             return;
         };
         let owner = attempt.request;
-        let passage = &mut self.requests[owner].passage;
-        if !passage.opened {
+        let progress = &mut self.requests[owner].progress;
+        if !progress.opened {
             self.fail(owner, Kind::UpstreamFailed);
             return;
         }
-        let ended_before = passage.unmarked_end.replace(passage.position);
-        let believed = marked || ended_before == Some(passage.position);
+        let ended_before = progress.unmarked_end.replace(progress.position);
+        let believed = marked || ended_before == Some(progress.position);
         if !believed && self.may_go_on(owner) {
             self.keep_copy(&attempt);
             self.note_lost(&attempt, counter::Reason::Unmarked);
@@ -72,7 +72,7 @@
             self.go_on_checked(owner, attempt.upstream, counter::Reason::Unmarked);
             return;
         }
-        self.complete(attempt.request, attempt.upstream, Effect::Close);
+        self.complete(attempt.request, attempt.upstream, Effect::EndStream);
     }
 
     /// A relayed stream began. Only the first head of an answer goes to the caller.
@@ -84,9 +84,9 @@
         let owner = attempt.request;
         self.upstreams[attempt.upstream].hear(self.now);
         let request = &mut self.requests[owner];
-        if !request.passage.opened {
-            request.passage.opened = true;
-            self.effects.push(Effect::Open(request.caller));
+        if !request.progress.opened {
+            request.progress.opened = true;
+            self.effects.push(Effect::ForwardHead(request.caller));
         }
     }
 
@@ -104,7 +104,7 @@
         }
         let request = &mut self.requests[owner];
         let current = request.attempts == [key];
-        let next = request.passage.position + 1;
+        let next = request.progress.position + 1;
         if !self.check(current, Invariant::SameGeneration) {
             self.fail(owner, Kind::Internal);
             return;
@@ -120,20 +120,20 @@
         }
         self.time_event(owner);
         let request = &mut self.requests[owner];
-        request.passage.position = position;
+        request.progress.position = position;
         let caller = request.caller;
-        self.effects.push(Effect::Pass { bytes, caller });
+        self.effects.push(Effect::ForwardEvent { bytes, caller });
     }
 
     /// Notes how long a caller waited for an event.
     fn time_event(&mut self, key: request::Key) {
         let request = &mut self.requests[key];
-        let timed = match (request.passage.lost_at.take(), request.passage.event_at) {
+        let timed = match (request.progress.lost_at.take(), request.progress.event_at) {
             (Some(lost), Some(_)) => (Timing::Resume, lost),
             (None, Some(last)) => (Timing::Pause, last),
-            (_, None) => (Timing::FirstEvent, request.asked),
+            (_, None) => (Timing::FirstEvent, request.arrived_at),
         };
-        request.passage.event_at = Some(self.now);
+        request.progress.event_at = Some(self.now);
         let (timing, since) = timed;
         if timing == Timing::Pause
             && let Some(pool) = self.pools.get_mut(request.service.pool())
@@ -141,22 +141,22 @@
             pool.gauge.event(self.now.since(since));
         }
         self.effects
-            .push(Effect::Timed(timing, self.now.since(since)));
+            .push(Effect::RecordDuration(timing, self.now.since(since)));
     }
 
     /// Learns how fast prompts are read from the first event of a stream that did not go on from a copy.
     fn learn_reading(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
-        let fresh = attempt.copy.is_none() && request.passage.position == 0;
-        let took = self.now.since(attempt.sent_at);
+        let fresh = attempt.copy.is_none() && request.progress.position == 0;
+        let took = self.now.since(attempt.created_at);
         let name: Arc<str> = request.service.pool().into();
         let Some(pool) = self.pools.get_mut(&name).filter(|_| fresh) else {
             return;
         };
         let pace = pool.gauge.read(name, attempt.ahead_tokens, took, self.now);
         if let Some(pace) = pace.filter(|_| self.settings.shared.paces) {
-            self.effects.push(Effect::Pace(pace));
+            self.effects.push(Effect::AnnouncePace(pace));
         }
     }
 
@@ -188,23 +188,23 @@
 
     /// Where a relayed request begins: behind the events that its caller has, and from the copied
     /// memory of the stream that another instance told of, if the caller had it there.
-    pub(crate) fn passage(&self, relay: &request::Relay) -> request::Passage {
-        let mut passage = request::Passage {
+    pub(crate) fn progress(&self, relay: &request::Relay) -> request::RelayProgress {
+        let mut progress = request::RelayProgress {
             position: relay.position,
-            ..request::Passage::default()
+            ..request::RelayProgress::default()
         };
         if relay.position == 0 {
-            return passage;
+            return progress;
         }
         if let Some(sighting) = self.sightings.get(relay.prompt) {
             let find = |life: Option<Life>| self.lives.get(&life?).copied();
-            passage.prefer = find(sighting.upstream);
-            passage.copy = find(sighting.backup).map(|upstream| request::Copy {
+            progress.preferred_upstream = find(sighting.upstream);
+            progress.copy = find(sighting.backup).map(|upstream| request::Copy {
                 run: sighting.run.as_str().into(),
                 upstream,
             });
         }
-        passage
+        progress
     }
 
     /// Whether an upstream runs relayed requests of this instance.
@@ -222,14 +222,14 @@
         let request = &mut self.requests[attempt.request];
         let run = request.work.relay().map(|relay| relay.run.clone());
         let copy = attempt.backup.zip(run).filter(|_| attempt.started);
-        request.passage.copy = copy.map(|(upstream, run)| request::Copy { run, upstream });
+        request.progress.copy = copy.map(|(upstream, run)| request::Copy { run, upstream });
     }
 
     /// Chooses where a copy of a stream's memory is kept while it runs, and tells other instances.
     pub(crate) fn plan(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let (owner, upstream) = (attempt.request, attempt.upstream);
-        let copy = self.requests[owner].passage.copy.take();
+        let copy = self.requests[owner].progress.copy.take();
         let own = self.own_usage();
         let backup = self.backup(owner, upstream, &own);
         let ahead_tokens = self.usage(&own, upstream).reading_tokens;
@@ -249,7 +249,7 @@
         let owner = attempt.request;
         let upstream = attempt.upstream;
         let request = &mut self.requests[owner];
-        request.avoid = Some(upstream);
+        request.avoided_upstream = Some(upstream);
         let reason = match failure {
             Failure::Broken | Failure::UnknownStream => {
                 request.may_have_run = true;
@@ -282,8 +282,8 @@
         self.called(attempt, false);
         self.note_lost(attempt, reason);
         if failure.not_run() {
-            let passage = &mut self.requests[owner].passage;
-            passage.reached = passage.reached.saturating_sub(1);
+            let progress = &mut self.requests[owner].progress;
+            progress.reached = progress.reached.saturating_sub(1);
         }
         // What follows from an end may be that this request is given up.
         match failure {
@@ -295,7 +295,7 @@
     }
 
     /// Sends a relayed request on after its last attempt is over, if that is allowed.
-    pub(crate) fn relay_again(&mut self, key: request::Key, reason: counter::Reason) {
+    pub(crate) fn retry_relay(&mut self, key: request::Key, reason: counter::Reason) {
         if self.is_guilty(self.requests[key].print) {
             self.refuse_guilty(key);
             return;
@@ -306,8 +306,8 @@
         }
         let now = self.now;
         let request = &mut self.requests[key];
-        if request.passage.position > 0 {
-            request.passage.lost_at.get_or_insert(now);
+        if request.progress.position > 0 {
+            request.progress.lost_at.get_or_insert(now);
             self.count(Counter::Resumed(reason));
         } else if self.may_retry(key, reason) {
             self.count(Counter::Retried(reason));
@@ -326,18 +326,18 @@
         };
         let repeatable = request.service.repeatable || !request.may_have_run;
         let resumes = relay.resumable && self.settings.relay_resume != Resume::None;
-        let whole = !request.passage.opened || resumes;
-        let reached = request.passage.reached < relay.attempts_max.max(1);
+        let whole = !request.progress.opened || resumes;
+        let reached = request.progress.reached < relay.attempts_max.max(1);
         let sent = request.number < self.settings.attempts_max;
         repeatable && whole && reached && sent && self.now < request.deadline
     }
 
     /// What is sent for a relayed attempt.
-    pub(crate) fn relaying(&self, key: attempt::Key) -> effect::Sending {
+    pub(crate) fn relaying(&self, key: attempt::Key) -> effect::Outbound {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
         let customer = request.customer.name.as_str();
-        effect::Sending::Relay {
+        effect::Outbound::Relay {
             backup: attempt
                 .backup
                 .and_then(|backup| self.upstreams.get(backup))
@@ -346,7 +346,7 @@
             copy: attempt.copy.as_ref().map(|copy| copy.run.clone()),
             customer: (!customer.is_empty()).then(|| customer.into()),
             left_ms: request.deadline.since(self.now),
-            position: request.passage.position,
+            position: request.progress.position,
             streams: request.service.relay().is_some_and(|relay| relay.streams),
             upstream: self.upstreams[attempt.upstream].name.clone(),
         }
@@ -355,20 +355,20 @@
     /// Notes that an attempt ended without a whole answer.
     pub(crate) fn note_lost(&mut self, attempt: &Attempt, reason: counter::Reason) {
         let request = &self.requests[attempt.request];
-        let what = effect::What::Lost(reason);
+        let what = effect::Step::Lost(reason);
         let note = self.noted(request, what, Some(attempt.upstream));
         self.effects.push(note);
     }
 
     /// Looks for relayed requests of an upstream that is silent too long. When one stream falls
     /// silent and nothing else comes from the upstream either, all its streams have lost it.
-    pub(crate) fn watch_relays(&mut self, key: upstream::Key) {
+    pub(crate) fn check_relay_stalls(&mut self, key: upstream::Key) {
         let silent = self.now.since(self.upstreams[key].heard) > self.settings.relay_stall_ms;
         for attempt_key in self.upstreams[key].attempts.clone() {
             let Some(attempt) = self.attempts.get(attempt_key) else {
                 continue;
             };
-            let silence = self.now.since(attempt.last);
+            let silence = self.now.since(attempt.last_event_at);
             let request = &self.requests[attempt.request];
             let Some(relay) = request.service.relay() else {
                 continue;
@@ -377,7 +377,7 @@
             let lost = if relay.streams {
                 relay.resumable && silence > self.patience(attempt, relay, doubted)
             } else {
-                let spare = request.passage.reached < relay.attempts_max;
+                let spare = request.progress.reached < relay.attempts_max;
                 request.service.repeatable && spare && silence > self.settings.relay_call_ms
             };
             // A prompt that is only read slowly would be read no sooner where there is no room.
@@ -414,7 +414,7 @@
     fn blame(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         upstream.trouble.add(self.now);
-        self.effects.push(Effect::Blame(upstream.life));
+        self.effects.push(Effect::AnnounceLost(upstream.life));
         self.doubt(key);
     }
 
@@ -461,7 +461,7 @@
         }
         self.sightings
             .add(sighting.clone(), true, 0, &self.lives, self.now);
-        self.effects.push(Effect::Tell(sighting));
+        self.effects.push(Effect::AnnounceStream(sighting));
     }
 
     /// Gives the caller the last step of a relayed answer.
@@ -479,19 +479,20 @@
         };
         self.count(Counter::Answered);
         self.acquit(request.print);
-        if !request.passage.opened {
-            let wait = self.now.since(request.asked);
-            self.effects.push(Effect::Timed(Timing::Answer, wait));
+        if !request.progress.opened {
+            let wait = self.now.since(request.arrived_at);
+            self.effects
+                .push(Effect::RecordDuration(Timing::Answer, wait));
         }
         if let Some(pool) = self.pools.get_mut(request.service.pool())
             && let Some(relay) = request.work.relay()
         {
             pool.gauge
-                .answered(request.passage.position, relay.answer_tokens);
+                .answered(request.progress.position, relay.max_answer_tokens);
         }
-        self.note(&request, effect::What::Answered, Some(upstream));
+        self.note(&request, effect::Step::Answered, Some(upstream));
         self.tell_over(&request, sighting::Stage::Ended);
         self.effects.push(last(request.caller));
-        self.pump(request.service.pool());
+        self.dispatch_queued(request.service.pool());
     }
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Relay {
     /// Tokens of the answer, at most; 0 if the request does not say.
-    pub answer_tokens: u32,
+    pub max_answer_tokens: u32,
     /// Bytes that the edge holds.
     pub bytes: u64,
     /// Host that the caller named.
@@ -46,7 +46,7 @@
     /// Path without query.
     pub path: Arc<str>,
     /// How long the caller waits for the whole answer, in milliseconds, if it said so.
-    pub patience_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
     /// Position of the last event that the caller has of an earlier answer; 0 for none.
     pub position: u64,
     /// Identity of the prompt, the same for every try of a caller; 0 if there is none.
@@ -79,7 +79,7 @@
 
 /// How far a relayed answer has come.
 #[derive(Clone, Debug, Default)]
-pub struct Passage {
+pub struct RelayProgress {
     /// Where a copy of the run's memory is kept, and under which name.
     pub copy: Option<Copy>,
     /// When the caller was given its last event; `None` before the first.
@@ -93,7 +93,7 @@
     /// Position of the last event that the caller has.
     pub position: u64,
     /// Upstream that ran the stream at another instance, and may keep its prompt.
-    pub prefer: Option<upstream::Key>,
+    pub preferred_upstream: Option<upstream::Key>,
     /// Position at which a stream ended without a mark that it is whole.
     pub unmarked_end: Option<u64>,
     /// Upstreams that the request reached.
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// When it arrived.
-    pub asked: Time,
+    pub arrived_at: Time,
     /// Attempts under way.
     pub attempts: Vec<attempt::Key>,
     /// The caller's connection.
@@ -201,7 +201,7 @@
     /// Number of the last attempt.
     pub number: u32,
     /// How far a relayed answer has come.
-    pub passage: Passage,
+    pub progress: RelayProgress,
     /// What tells that it is one of several tries of its caller.
     pub print: Print,
     /// Time by which it must have been sent.
@@ -209,7 +209,7 @@
     /// For how long its caller had waited before it asked here, as far as is known, in milliseconds.
     pub waited_ms: u64,
     /// Time by which the first event of its answer is wanted, for relayed streams.
-    pub wanted_by: Time,
+    pub first_event_due: Time,
     /// Position before which tokens are not given to the caller, since it has them.
     pub skip: u32,
     /// Digest that `delivered` must have at `skip`.
@@ -221,7 +221,7 @@
     /// Where it stands.
     pub state: State,
     /// Upstream not to be chosen again if another can be: the one that failed last.
-    pub avoid: Option<upstream::Key>,
+    pub avoided_upstream: Option<upstream::Key>,
     /// What is asked.
     pub work: Work,
 }
@@ -243,7 +243,7 @@
     /// Count of tokens delivered, or position of the last event that the caller has.
     pub fn position(&self) -> u32 {
         match &self.work {
-            Work::Relay(_) => self.passage.position as u32,
+            Work::Relay(_) => self.progress.position as u32,
             Work::Call { .. } | Work::Generate { .. } => self.delivered.len() as u32,
         }
     }
--- a/crates/core/src/room.rs
+++ b/crates/core/src/room.rs
@@ -75,7 +75,7 @@
             let reads = room.reading == 0 || usage.reading < room.reading;
             reads && need.fits(usage, room.fill) && self.begins_in_time(request, usage)
         });
-        let before = if late { self.now } else { request.asked };
+        let before = if late { self.now } else { request.arrived_at };
         let pool = request.service.pool();
         let ahead = self.sightings.waiting(pool, before);
         if ahead > 0 && room.turns {
@@ -95,7 +95,7 @@
         let pool = self.pools.get(request.service.pool());
         let reading = pool.map_or(0, |pool| pool.gauge.reading(usage.reading_tokens + tokens));
         let any_time = self.settings.room.late_fill == 0.0;
-        any_time || self.now.after(reading) <= request.wanted_by
+        any_time || self.now.after(reading) <= request.first_event_due
     }
 
     /// How many streams like one an upstream in such use has room for.
@@ -154,7 +154,7 @@
     /// Whether a stream can no longer begin in the time in which it is wanted, wherever it is sent.
     pub(crate) fn is_late(&self, request: &Request) -> bool {
         self.settings.room.late_fill > 0.0
-            && self.now.after(self.reading_ms(request)) > request.wanted_by
+            && self.now.after(self.reading_ms(request)) > request.first_event_due
     }
 
     /// Time in milliseconds that an engine without other work needs to read the tokens by which a request counts.
@@ -208,7 +208,7 @@
         let in_vain = if late {
             lasting > request.service.max_wait_ms
         } else {
-            begins > request.wanted_by
+            begins > request.first_event_due
         };
         if in_vain {
             return Err(admission::Refusal {
@@ -225,7 +225,7 @@
             return request.send_by;
         }
         let begins = self.reading_ms(request);
-        let last = request.wanted_by.0.saturating_sub(begins);
+        let last = request.first_event_due.0.saturating_sub(begins);
         request.send_by.max(Time(last))
     }
 
@@ -236,15 +236,15 @@
         else {
             return false;
         };
-        let passage = &request.passage;
+        let progress = &request.progress;
         // The upstream that ran it before may keep its prompt.
-        let kept = passage.copy.is_some() || passage.prefer.is_some();
+        let kept = progress.copy.is_some() || progress.preferred_upstream.is_some();
         let reading = if kept {
             0
         } else {
             pool.gauge.reading(relay.tokens)
         };
-        let rest = pool.gauge.rest(relay.answer_tokens, relay.position);
+        let rest = pool.gauge.rest(relay.max_answer_tokens, relay.position);
         let left = request.deadline.since(self.now);
         let hopeless = self.settings.room.hopeless;
         hopeless > 0.0 && (reading + rest) as f64 > left as f64 * hopeless
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -14,7 +14,7 @@
     /// It went.
     Gone,
     /// It was written.
-    Listed(Listed),
+    Listed(ListEntry),
     /// It was written and names no upstream to use, as another writer's: the one under this name gets no new work.
     Odd,
 }
@@ -87,7 +87,7 @@
     pub away: bool,
     /// Position of the last change that is known.
     pub changed: Position,
-    entries: BTreeMap<String, Listed>,
+    entries: BTreeMap<String, ListEntry>,
     /// When the store was away last.
     absent: Option<Span>,
     /// Whether the end of that was put off, since the store was away again soon.
@@ -175,7 +175,7 @@
     }
 
     /// The upstreams as they are believed.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<ListEntry> {
         self.entries.values().cloned().collect()
     }
 
@@ -303,7 +303,7 @@
         match &change.entry {
             Entry::Gone => self.remove(&change.name, now),
             Entry::Listed(listed) => {
-                let former = self.entries.get(&change.name).map(Listed::life);
+                let former = self.entries.get(&change.name).map(ListEntry::life);
                 if let Some(former) = former.filter(|former| *former != listed.life()) {
                     self.note_left(former, false, now);
                 }
@@ -332,7 +332,7 @@
         let Entry::Listed(listed) = &mut change.entry else {
             return change;
         };
-        let known = self.entries.get(&change.name).map(Listed::life);
+        let known = self.entries.get(&change.name).map(ListEntry::life);
         let place = self.places.get(&change.name).copied().unwrap_or_default();
         let is_copied =
             place.era < change.position.era && change.position.revision < place.revision;
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -23,7 +23,7 @@
             return Some(upstream);
         }
         let mut candidates = self.candidates(key, resume);
-        let avoid = self.requests[key].avoid;
+        let avoid = self.requests[key].avoided_upstream;
         if candidates.len() > 1 {
             candidates.retain(|other| Some(*other) != avoid);
         }
@@ -127,7 +127,7 @@
 
     /// Upstreams of a request's pool that take work and do not have it already.
     fn usable(&self, key: request::Key) -> Vec<upstream::Key> {
-        if self.now < self.stale_until {
+        if self.now < self.list_stale_until {
             return Vec::new();
         }
         let request = &self.requests[key];
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -22,9 +22,9 @@
             }
         }
         if let Some(request) = self.remove(key) {
-            self.note(&request, effect::What::Left, None);
+            self.note(&request, effect::Step::Left, None);
             self.tell_over(&request, sighting::Stage::Left);
-            self.pump(request.service.pool());
+            self.dispatch_queued(request.service.pool());
         }
     }
 
@@ -52,13 +52,13 @@
         };
         self.count(Counter::Answered);
         self.acquit(request.print);
-        self.note(&request, effect::What::Answered, Some(attempt_upstream));
+        self.note(&request, effect::Step::Answered, Some(attempt_upstream));
         self.effects.push(Effect::Finish {
             caller: request.caller,
             position,
             reason,
         });
-        self.pump(request.service.pool());
+        self.dispatch_queued(request.service.pool());
     }
 
     /// A plain service answered.
@@ -78,17 +78,22 @@
         };
         self.count(Counter::Answered);
         self.acquit(request.print);
-        self.note(&request, effect::What::Answered, Some(attempt.upstream));
+        self.note(&request, effect::Step::Answered, Some(attempt.upstream));
         self.effects.push(Effect::Reply {
             body,
             caller: request.caller,
             status,
         });
-        self.pump(request.service.pool());
+        self.dispatch_queued(request.service.pool());
     }
 
     /// Tokens arrived on a stream, the first of them at `position` of the whole answer.
-    pub(crate) fn tokens(&mut self, key: attempt::Key, position: u32, mut pieces: Vec<Piece>) {
+    pub(crate) fn tokens(
+        &mut self,
+        key: attempt::Key,
+        position: u32,
+        mut pieces: Vec<OutputToken>,
+    ) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
@@ -129,7 +134,13 @@
     }
 
     /// Adds tokens to a request and gives the caller those that it does not have.
-    fn accept(&mut self, key: request::Key, number: u32, upstream: u64, mut pieces: Vec<Piece>) {
+    fn accept(
+        &mut self,
+        key: request::Key,
+        number: u32,
+        upstream: u64,
+        mut pieces: Vec<OutputToken>,
+    ) {
         let request = &mut self.requests[key];
         let first = request.position();
         for piece in &pieces {
@@ -137,8 +148,8 @@
                 self.fail(key, Kind::CannotResume);
                 return;
             }
-            request.delivered.push(piece.token);
-            request.digest = request.digest.push(piece.token);
+            request.delivered.push(piece.id);
+            request.digest = request.digest.push(piece.id);
         }
         if request.position() <= request.skip {
             return;
@@ -158,7 +169,7 @@
         self.effects.push(Effect::Deliver {
             caller,
             cursor: cursor.encode(&self.secret),
-            pieces,
+            tokens: pieces,
             position,
         });
     }
@@ -168,10 +179,12 @@
         let attempt = &mut self.attempts[key];
         let upstream = &mut self.upstreams[attempt.upstream];
         if attempt.started {
-            upstream.detector.observe(self.now.since(attempt.last));
+            upstream
+                .detector
+                .observe(self.now.since(attempt.last_event_at));
         }
-        attempt.began.get_or_insert(self.now);
-        attempt.last = self.now;
+        attempt.first_event_at.get_or_insert(self.now);
+        attempt.last_event_at = self.now;
         attempt.started = true;
         attempt.suspected = false;
         upstream.hear(self.now);
@@ -179,9 +192,9 @@
 }
 
 /// Whether `pieces` at `position` are the tokens that were delivered there.
-fn repeats(delivered: &[u32], position: u32, pieces: &[Piece]) -> bool {
+fn repeats(delivered: &[u32], position: u32, pieces: &[OutputToken]) -> bool {
     delivered[(position as usize).min(delivered.len())..]
         .iter()
         .zip(pieces)
-        .all(|(token, piece)| *token == piece.token)
+        .all(|(token, piece)| *token == piece.id)
 }
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -112,7 +112,9 @@
         }
         let (address, life) = (upstream.address, upstream.life);
         let print = self.requests[attempt.request].print;
-        let ran_ms = attempt.began.map_or(0, |began| self.now.since(began));
+        let ran_ms = attempt
+            .first_event_at
+            .map_or(0, |began| self.now.since(began));
         let part = if ran_ms >= RAN_MS {
             quarantine::Part::Ran
         } else {
@@ -131,7 +133,7 @@
         });
         pending.there.insert(print, part);
         if std::mem::replace(&mut pending.answered, false) {
-            self.decide(effect::Quarantine::Check { address, life });
+            self.decide(effect::Quarantine::CheckCrash { address, life });
         }
     }
 
@@ -193,7 +195,7 @@
     /// Tells other instances what this one saw, and draws the conclusions.
     fn tell_ends(&mut self, news: Account) {
         if !news.is_empty() {
-            self.decide(effect::Quarantine::Tell(news));
+            self.decide(effect::Quarantine::Announce(news));
             self.judge();
         }
     }
@@ -223,10 +225,10 @@
         for print in freed {
             // Only who kept it removes it: else each of hundreds would write when one lapses.
             let own = own.contains(&print);
-            self.decide(effect::Quarantine::Free { own, print });
+            self.decide(effect::Quarantine::Release { own, print });
         }
         let account = self.suspicion.account.clone();
-        self.decide(effect::Quarantine::Keep(account));
+        self.decide(effect::Quarantine::Publish(account));
     }
 
     /// A request is guilty from now on: nothing of it is sent any more, and what an upstream has not yet begun is taken back.
@@ -290,7 +292,7 @@
             return;
         };
         if request.work.relay().is_some() {
-            self.relay_again(key, reason);
+            self.retry_relay(key, reason);
         } else {
             self.recover(key, reason);
         }
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -38,9 +38,9 @@
         }
         for key in changed {
             let belief = if self.upstreams[key].held {
-                effect::Belief::Held
+                effect::StatusChange::Held
             } else {
-                effect::Belief::Released
+                effect::StatusChange::Released
             };
             self.believe(key, belief);
         }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -49,7 +49,7 @@
         upstream.health = Health::Suspected;
         upstream.doubted_until = self.now.after(self.settings.probe_ms);
         self.count(Counter::Suspected);
-        self.believe(key, effect::Belief::Doubted);
+        self.believe(key, effect::StatusChange::Doubted);
         if self.settings.probes {
             self.probe(key);
         }
@@ -66,7 +66,7 @@
     pub(crate) fn leave(&mut self, key: upstream::Key) {
         if self.hint(key) {
             let upstream = &self.upstreams[key];
-            self.effects.push(Effect::Leaving {
+            self.effects.push(Effect::AnnounceLeaving {
                 life: upstream.life,
                 upstream: upstream.name.clone(),
             });
@@ -82,15 +82,15 @@
         let news = !upstream.leaves(self.now);
         upstream.leaving_until = until;
         if news {
-            self.believe(key, effect::Belief::Leaving);
+            self.believe(key, effect::StatusChange::Leaving);
         }
         news
     }
 
     /// Takes in the platform's list: new upstreams, those that leave, and those that are gone.
-    pub(crate) fn list(&mut self, asked: Time, listed: Option<&[event::Listed]>) {
-        if asked >= self.woken {
-            self.stale_until = Time::default();
+    pub(crate) fn list(&mut self, asked: Time, listed: Option<&[event::ListEntry]>) {
+        if asked >= self.woken_at {
+            self.list_stale_until = Time::default();
         }
         let Some(listed) = listed else {
             return;
@@ -115,7 +115,7 @@
         let is_longer = self.upstreams.len() > known;
         for key in absent {
             if !self.upstreams[key].leaving || self.upstreams[key].attempts.is_empty() {
-                self.believe(key, effect::Belief::Gone);
+                self.believe(key, effect::StatusChange::Gone);
             }
             self.upstreams[key].leaving = true;
             if self.upstreams[key].attempts.is_empty() {
@@ -131,8 +131,8 @@
         }
         self.settle_versions();
         self.choose_subsets();
-        self.listed = Some(asked);
-        self.submit_early();
+        self.list_read_at = Some(asked);
+        self.submit_deferred();
         self.pump_all();
     }
 
@@ -153,7 +153,7 @@
         if alive {
             upstream.health = Health::Live;
             let pool = upstream.pool.clone();
-            self.pump(&pool);
+            self.dispatch_queued(&pool);
         } else if upstream.heard <= sent {
             self.lose(key);
         }
@@ -185,12 +185,12 @@
             }
             self.watch_streams(*key);
         }
-        self.reclaim();
+        self.retry_claims();
         self.watch_suspicion();
-        self.submit_early();
+        self.submit_deferred();
         self.tell_demands();
-        if self.now.since(self.swept) >= SWEEP_MS {
-            self.swept = self.now;
+        if self.now.since(self.swept_at) >= SWEEP_MS {
+            self.swept_at = self.now;
             self.settle_versions();
             self.question_limits();
             self.sweep();
@@ -211,9 +211,7 @@
                 let upstream = &self.upstreams[*key];
                 upstream.health != Health::Lost && !upstream.leaves(self.now) && !upstream.held
             });
-            ranked.sort_unstable_by_key(|key| {
-                route::rank(self.identity, self.upstreams[*key].life.id)
-            });
+            ranked.sort_unstable_by_key(|key| route::rank(self.seed, self.upstreams[*key].life.id));
             ranked.truncate(count);
             for key in &pool.upstreams {
                 self.upstreams[*key].chosen = ranked.contains(key);
@@ -245,7 +243,7 @@
     /// An upstream started again under its name: what ran there is gone, and nothing of it is believed any more. Had a
     /// silent link kept an attempt waiting, its caller would get no answer before its deadline.
     fn restarted(&mut self, key: upstream::Key) {
-        self.believe(key, effect::Belief::Restarted);
+        self.believe(key, effect::StatusChange::Restarted);
         self.ended(self.upstreams[key].life);
         for attempt in self.upstreams[key].attempts.clone() {
             self.abandon(attempt, counter::Reason::Restarted);
@@ -254,7 +252,7 @@
     }
 
     /// The upstream of a list entry, made if it is new. Another birth or another address is another upstream.
-    fn listed(&mut self, entry: &event::Listed) -> Place {
+    fn listed(&mut self, entry: &event::ListEntry) -> Place {
         let life = entry.life();
         let known = self.namesake(life);
         if let Some(key) = known
@@ -262,7 +260,7 @@
             && self.upstreams[key].address == entry.address
         {
             if entry.leaving && !self.upstreams[key].leaves(self.now) {
-                self.believe(key, effect::Belief::Leaving);
+                self.believe(key, effect::StatusChange::Leaving);
             }
             self.upstreams[key].leaving = entry.leaving;
             self.upstreams[key].listed_slots = entry.slots;
@@ -310,7 +308,7 @@
         self.sightings.resolve(life, key, self.now);
         self.lives.insert(life, key);
         self.pools.entry(pool).or_default().upstreams.push(key);
-        self.believe(key, effect::Belief::New);
+        self.believe(key, effect::StatusChange::New);
         if let Some(rate) = self.upstreams[key].standing.limit {
             self.believe_limit(key, rate);
         }
@@ -355,7 +353,7 @@
         upstream.health = Health::Lost;
         upstream.trouble.add(self.now);
         let life = upstream.life;
-        self.believe(key, effect::Belief::Replaced);
+        self.believe(key, effect::StatusChange::Replaced);
         self.ended(life);
     }
 
@@ -366,7 +364,7 @@
         }
         self.upstreams[key].health = Health::Lost;
         self.count(Counter::UpstreamLost);
-        self.believe(key, effect::Belief::Lost);
+        self.believe(key, effect::StatusChange::Lost);
         self.choose_subsets();
         for attempt in self.upstreams[key].attempts.clone() {
             self.abandon(attempt, counter::Reason::Probe);
@@ -395,7 +393,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for pool in waiting {
-            self.pump(&pool);
+            self.dispatch_queued(&pool);
         }
     }
 
@@ -415,7 +413,7 @@
             // A relayed request is refused long before its deadline, while coming back can help.
             let request = &self.requests[key];
             let unsent = match request.work {
-                Work::Relay(_) if self.reachable(request.service.pool()) => Kind::Overloaded,
+                Work::Relay(_) if self.is_reachable(request.service.pool()) => Kind::Overloaded,
                 Work::Relay(_) => Kind::NoUpstream,
                 Work::Call { .. } | Work::Generate { .. } => Kind::Deadline,
             };
@@ -428,12 +426,12 @@
     /// read the list again, or that fails for a while.
     pub(crate) fn wake(&mut self, gap: u64) {
         self.count(Counter::Paused);
-        self.woken = self.now;
+        self.woken_at = self.now;
         if gap > LIST_STALE_MS {
-            self.stale_until = self.now.after(LIST_WAIT_MS);
+            self.list_stale_until = self.now.after(LIST_WAIT_MS);
         }
         for attempt in self.attempts.values_mut() {
-            attempt.last = self.now;
+            attempt.last_event_at = self.now;
         }
         for upstream in self.upstreams.values_mut() {
             upstream.heard = self.now;
@@ -453,7 +451,7 @@
             return;
         }
         let pool = upstream.pool.clone();
-        self.pump(&pool);
+        self.dispatch_queued(&pool);
     }
 
     /// A doubted upstream that is not probed is tried again after a while.
@@ -461,15 +459,15 @@
         let upstream = &mut self.upstreams[key];
         if upstream.health == Health::Suspected && self.now >= upstream.doubted_until {
             upstream.health = Health::Live;
-            self.believe(key, effect::Belief::Trusted);
+            self.believe(key, effect::StatusChange::Trusted);
         }
     }
 
     /// Logs what is believed of an upstream from now on.
-    pub(crate) fn believe(&mut self, key: upstream::Key, belief: effect::Belief) {
+    pub(crate) fn believe(&mut self, key: upstream::Key, belief: effect::StatusChange) {
         let upstream = &self.upstreams[key];
-        self.effects.push(Effect::Believe {
-            belief,
+        self.effects.push(Effect::LogUpstream {
+            change: belief,
             born: upstream.life.born,
             silent_ms: self.now.since(upstream.heard),
             upstream: upstream.name.clone(),
@@ -505,7 +503,7 @@
             return;
         }
         if self.is_relaying(key) {
-            self.watch_relays(key);
+            self.check_relay_stalls(key);
             return;
         }
         let bound = upstream.detector.bound(&self.settings);
@@ -524,7 +522,7 @@
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
-        let silence = self.now.since(attempt.last);
+        let silence = self.now.since(attempt.last_event_at);
         if !attempt.sent || silence <= bound || !(attempt.started || upstream_suspected) {
             return;
         }
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -9,8 +9,8 @@
         config::{Config, Customer, Model, Policy, Priority, Service, Target},
         core::Core,
         counter::Counter,
-        effect::{Effect, Sending},
-        event::{ClaimOutcome, Event, Failure, Listed, Piece, Submission},
+        effect::{Effect, Outbound},
+        event::{ClaimOutcome, Event, Failure, ListEntry, OutputToken, Submission},
         kind::Kind,
         notice::{Notice, Rest},
         position::Position,
@@ -112,7 +112,7 @@
 
     /// Has the list read, with one upstream leaving if given.
     fn list(&mut self, upstreams: usize, leaving: Option<usize>) {
-        let listed = (0..upstreams).map(|index| Listed {
+        let listed = (0..upstreams).map(|index| ListEntry {
             address: address(index),
             born: 0,
             data_centre: String::new(),
@@ -124,8 +124,8 @@
             version: String::new(),
         });
         self.tell(Event::List {
-            asked: self.now,
-            listed: Some(listed.collect()),
+            requested_at: self.now,
+            entries: Some(listed.collect()),
         });
         self.tell(Event::Tick);
         let probes: Vec<Effect> = self.effects.drain(..).collect();
@@ -172,13 +172,13 @@
 
     /// Gives one token of an attempt.
     fn token(&mut self, attempt: attempt::Key, position: u32, token: u32) {
-        let piece = Piece {
+        let piece = OutputToken {
             text: "a".into(),
-            token,
+            id: token,
         };
         self.tell(Event::Tokens {
             attempt,
-            pieces: vec![piece],
+            tokens: vec![piece],
             position,
         });
     }
@@ -257,7 +257,7 @@
         rest,
         ..Notice::default()
     };
-    test.tell(Event::Noticed {
+    test.tell(Event::NoticeReceived {
         attempt,
         notice,
         upstream,
@@ -401,10 +401,10 @@
         failure: Failure::Broken,
     });
     let next = test.effects.iter().find_map(|effect| match effect {
-        Effect::Send { sending, .. } => Some(sending.clone()),
+        Effect::Send { outbound, .. } => Some(outbound.clone()),
         _ => None,
     });
-    let Some(Sending::Generate { prefix, stream, .. }) = next else {
+    let Some(Outbound::Generate { prefix, stream, .. }) = next else {
         panic!("{next:?}");
     };
     expect_that!(prefix, elements_are![eq(&7)]);
@@ -419,7 +419,7 @@
     let attempt = test.attempts()[0];
     test.tell(Event::CallerGone(caller));
     test.effects.clear();
-    test.tell(Event::Finished {
+    test.tell(Event::GenerationFinished {
         attempt,
         position: 100,
         reason: "length".into(),
@@ -477,7 +477,7 @@
     let mut test = Test::new(Settings::default(), 2);
     test.ask("mill");
     let (first, busy) = (test.attempts()[0], test.sent()[0]);
-    test.tell(Event::Carried {
+    test.tell(Event::PiggybackedLoad {
         attempt: first,
         load: Load {
             running: 8,
@@ -500,13 +500,13 @@
     test.ask("mill");
     // An answer that was on its way before the pause says nothing new.
     test.tell(Event::List {
-        asked,
-        listed: None,
+        requested_at: asked,
+        entries: None,
     });
     expect_that!(test.sent(), is_empty());
     test.tell(Event::List {
-        asked: test.now,
-        listed: None,
+        requested_at: test.now,
+        entries: None,
     });
     test.tell(Event::Tick);
     expect_that!(test.sent().len(), eq(1));
@@ -517,8 +517,8 @@
     let (mut test, first) = Test::drafting();
     test.now = test.now.after(2 * Settings::default().key_age_max_ms);
     test.tell(Event::List {
-        asked: test.now,
-        listed: None,
+        requested_at: test.now,
+        entries: None,
     });
     test.effects.clear();
     test.tell(Event::Failed {
@@ -541,8 +541,8 @@
     test.now = test.now.after(2 * Settings::default().key_age_max_ms);
     test.claim();
     test.tell(Event::List {
-        asked: test.now,
-        listed: None,
+        requested_at: test.now,
+        entries: None,
     });
     expect_that!(test.attempts(), is_empty());
     expect_that!(test.errors(), elements_are![eq(&(Kind::Unknown, false))]);
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -49,8 +49,8 @@
     }
 
     /// The same core, still to be told of the streams that were kept before its start.
-    pub fn recalling(mut self) -> Self {
-        self.core = self.core.recalling();
+    pub fn restoring_streams(mut self) -> Self {
+        self.core = self.core.restoring_streams();
         self
     }
 
@@ -80,7 +80,7 @@
         settings.probes = false;
         Self {
             body: 0,
-            core: Core::new(settings, [0; 32], seed, NOW).standing_in("dc-0"),
+            core: Core::new(settings, [0; 32], seed, NOW).in_data_centre("dc-0"),
             effects: Vec::new(),
             next: 0,
             now: NOW,
@@ -127,11 +127,11 @@
             received: None,
             service: String::new(),
             work: Work::Relay(Relay {
-                answer_tokens: if path == STREAM { 800 } else { 0 },
+                max_answer_tokens: if path == STREAM { 800 } else { 0 },
                 bytes: 100,
                 host: "a.example".into(),
                 path: path.into(),
-                patience_ms: Some(patience),
+                timeout_ms: Some(patience),
                 position,
                 prompt: if path == STREAM { 77 } else { 0 },
                 run: format!("run-{}", self.next).into(),
@@ -145,7 +145,7 @@
     pub fn stream(&mut self, events: u64) -> Sent {
         self.ask(STREAM);
         let sent = self.last();
-        self.tell(Event::Opened(sent.attempt));
+        self.tell(Event::StreamOpened(sent.attempt));
         for position in 1..=events {
             self.pass_on(&sent, position);
         }
@@ -153,7 +153,7 @@
     }
 
     pub fn pass_on(&mut self, sent: &Sent, position: u64) {
-        self.tell(Event::Passed {
+        self.tell(Event::StreamEvent {
             attempt: sent.attempt,
             bytes: format!("id: {position}\n\n").into_bytes().into(),
             position,
@@ -162,7 +162,7 @@
 
     pub fn close(&mut self, sent: &Sent, marked: bool) {
         let attempt = sent.attempt;
-        self.tell(Event::Closed { attempt, marked });
+        self.tell(Event::StreamEnded { attempt, marked });
     }
 
     pub fn fail(&mut self, sent: &Sent, failure: Failure) {
@@ -176,7 +176,7 @@
     pub fn break_off(&mut self, sent: &Sent, ended: bool) {
         self.fail(sent, Failure::Broken);
         let life = life(sent.upstream, 0);
-        self.tell(Event::Checked { ended, life });
+        self.tell(Event::CrashChecked { ended, life });
     }
 
     pub fn answer(&mut self, sent: &Sent, verdict: Verdict) {
@@ -186,16 +186,16 @@
         });
     }
 
-    pub fn list(&mut self, listed: Vec<Listed>) {
+    pub fn list(&mut self, listed: Vec<ListEntry>) {
         self.tell(Event::List {
-            asked: self.now,
-            listed: Some(listed),
+            requested_at: self.now,
+            entries: Some(listed),
         });
     }
 
     /// Has a stream told of that waits at another instance.
     pub fn waits_elsewhere(&mut self, prompt: u64) {
-        self.tell(Event::Sighted(Sighting {
+        self.tell(Event::StreamReported(Sighting {
             backup: None,
             pool: "pool".into(),
             prompt,
@@ -220,8 +220,8 @@
             Effect::Send {
                 address,
                 attempt,
-                sending:
-                    Sending::Relay {
+                outbound:
+                    Outbound::Relay {
                         backup,
                         copy,
                         left_ms,
@@ -251,7 +251,7 @@
     /// Positions of the events given to callers.
     pub fn given(&self) -> Vec<u64> {
         let position = |effect: &Effect| match effect {
-            Effect::Pass { bytes, .. } => {
+            Effect::ForwardEvent { bytes, .. } => {
                 let text = std::str::from_utf8(bytes).unwrap();
                 text.trim().strip_prefix("id: ")?.parse().ok()
             }
@@ -263,9 +263,9 @@
     /// Names of the last steps given to callers.
     pub fn ends(&self) -> Vec<String> {
         let end = |effect: &Effect| match effect {
-            Effect::Answer(_) => Some("answer".into()),
-            Effect::Close(_) => Some("close".into()),
-            Effect::Cut(_) => Some("cut".into()),
+            Effect::ForwardResponse(_) => Some("answer".into()),
+            Effect::EndStream(_) => Some("close".into()),
+            Effect::AbortStream(_) => Some("cut".into()),
             Effect::Fail { kind, .. } => Some(kind.to_string()),
             _ => None,
         };
@@ -302,8 +302,8 @@
 }
 
 /// An upstream at an address; three addresses in a row are in one data centre.
-pub fn listed(name: usize, place: usize) -> Listed {
-    Listed {
+pub fn listed(name: usize, place: usize) -> ListEntry {
+    ListEntry {
         address: address(place),
         born: 0,
         data_centre: format!("dc-{}", place / 3),
--- a/crates/core/tests/relay/life.rs
+++ b/crates/core/tests/relay/life.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// An upstream at its place in a life that began at a time.
-fn born(upstream: usize, born: u64) -> Listed {
-    Listed {
+fn born(upstream: usize, born: u64) -> ListEntry {
+    ListEntry {
         born,
         ..listed(upstream, upstream)
     }
@@ -20,7 +20,7 @@
 /// What is believed of an upstream since a moment, by names as in logs.
 fn beliefs(test: &Test, since: usize) -> Vec<&'static str> {
     let belief = |effect: &Effect| match effect {
-        Effect::Believe { belief, .. } => Some(belief.name()),
+        Effect::LogUpstream { change: belief, .. } => Some(belief.name()),
         _ => None,
     };
     test.effects[since..].iter().filter_map(belief).collect()
@@ -47,12 +47,12 @@
 #[gtest]
 fn copy_at_a_former_life_is_not_gone_on_from() {
     let mut test = lives(6);
-    test.tell(Event::Sighted(Sighting {
+    test.tell(Event::StreamReported(Sighting {
         backup: Some(life(4, 5)),
         upstream: Some(life(1, 5)),
         ..sighting(1, 4)
     }));
-    let mut listed: Vec<Listed> = (0..6).map(|index| born(index, 5)).collect();
+    let mut listed: Vec<ListEntry> = (0..6).map(|index| born(index, 5)).collect();
     listed[4] = born(4, 9);
     test.list(listed);
     test.ask_as("key", STREAM, 9);
@@ -79,7 +79,7 @@
     let mut test = lives(6);
     test.list((0..6).map(|index| born(index, 9)).collect());
     for upstream in [0, 1] {
-        test.tell(Event::Blamed(life(upstream, 5)));
+        test.tell(Event::LostReported(life(upstream, 5)));
     }
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..30 {
@@ -92,7 +92,7 @@
 #[gtest]
 fn entry_of_a_service_without_a_configuration_takes_nobody_s_place() {
     let mut test = lives(1);
-    let foreign = Listed {
+    let foreign = ListEntry {
         pool: "another".into(),
         since: Position::new(0, 70),
         ..listed(9, 0)
@@ -105,7 +105,7 @@
 #[gtest]
 fn entry_of_a_service_whose_configuration_comes_later_takes_its_place_then() {
     let mut test = lives(1);
-    let newer = Listed {
+    let newer = ListEntry {
         pool: "another".into(),
         since: Position::new(0, 70),
         ..listed(9, 0)
@@ -139,7 +139,7 @@
 #[gtest]
 fn leaving_upstream_that_starts_again_gets_work() {
     let mut test = lives(1);
-    test.list(vec![Listed {
+    test.list(vec![ListEntry {
         leaving: true,
         ..born(0, 5)
     }]);
@@ -164,7 +164,7 @@
     test.ask(AGAIN);
     let first = test.last().upstream;
     // In the order of the list the one that restarted comes before and behind the one that leaves.
-    let mut listed: Vec<Listed> = (0..3).map(|index| born(index, 5)).collect();
+    let mut listed: Vec<ListEntry> = (0..3).map(|index| born(index, 5)).collect();
     listed[first] = born(first, 9);
     listed[1 - first].leaving = true;
     test.list(listed);
@@ -176,7 +176,7 @@
 fn load_of_a_former_life_is_not_that_of_the_next() {
     let mut test = lives(2);
     for prompt in 0..8 {
-        test.tell(Event::Sighted(Sighting {
+        test.tell(Event::StreamReported(Sighting {
             backup: None,
             prompt: 1_000 + prompt,
             stage: Stage::Started,
@@ -195,7 +195,7 @@
 fn restart_at_another_address_is_another_life() {
     let mut test = lives(1);
     test.ask(AGAIN);
-    let moved = Listed {
+    let moved = ListEntry {
         address: address(5),
         ..born(0, 9)
     };
@@ -209,7 +209,7 @@
 fn stream_of_a_former_life_goes_on_elsewhere_from_its_copy() {
     let mut test = lives(6);
     let sent = test.stream(3);
-    let mut listed: Vec<Listed> = (0..6).map(|index| born(index, 5)).collect();
+    let mut listed: Vec<ListEntry> = (0..6).map(|index| born(index, 5)).collect();
     listed[sent.upstream] = born(sent.upstream, 9);
     test.list(listed);
     let next = test.last();
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -9,8 +9,8 @@
         config::{self, Config, Customer, Policy, Priority, Route, Service, Share, Target},
         core::Core,
         counter::{Counter, Reason},
-        effect::{self, Effect, Sending},
-        event::{Event, Failure, Listed, Submission, Verdict},
+        effect::{self, Effect, Outbound},
+        event::{Event, Failure, ListEntry, Submission, Verdict},
         kind::Kind,
         life::Life,
         members::View,
@@ -53,7 +53,7 @@
     let second = test.last();
     expect_that!(test.ends(), is_empty());
     expect_that!(second.position, eq(3));
-    test.tell(Event::Opened(second.attempt));
+    test.tell(Event::StreamOpened(second.attempt));
     test.close(&second, false);
     expect_that!(test.ends(), elements_are![eq("close")]);
 }
@@ -64,7 +64,7 @@
     let first = test.stream(3);
     test.close(&first, false);
     let second = test.last();
-    test.tell(Event::Opened(second.attempt));
+    test.tell(Event::StreamOpened(second.attempt));
     test.pass_on(&second, 4);
     test.close(&second, true);
     expect_that!(test.given(), elements_are![eq(&1), eq(&2), eq(&3), eq(&4)]);
@@ -119,12 +119,12 @@
     let sent = test.stream(2);
     test.fail(&sent, Failure::Broken);
     let next = test.last();
-    test.tell(Event::Opened(next.attempt));
+    test.tell(Event::StreamOpened(next.attempt));
     test.pass_on(&next, 3);
     let opened = test
         .effects
         .iter()
-        .filter(|effect| matches!(effect, Effect::Open(_)));
+        .filter(|effect| matches!(effect, Effect::ForwardHead(_)));
     expect_that!(opened.count(), eq(1));
     expect_that!(test.given(), elements_are![eq(&1), eq(&2), eq(&3)]);
 }
@@ -221,7 +221,7 @@
     let first = test.stream(3);
     test.fail(&first, Failure::Broken);
     let second = test.last();
-    test.tell(Event::Opened(second.attempt));
+    test.tell(Event::StreamOpened(second.attempt));
     test.pass(1_100);
     expect_that!(test.last().attempt, not(eq(second.attempt)));
     expect_that!(test.last().position, eq(3));
@@ -354,12 +354,12 @@
 
 #[gtest]
 fn of_upstreams_at_one_address_the_last_one_entered_gets_work() {
-    let older = Listed {
+    let older = ListEntry {
         since: Position::new(0, 4),
         slots: 0,
         ..listed(0, 0)
     };
-    let newer = Listed {
+    let newer = ListEntry {
         since: Position::new(0, 7),
         slots: 0,
         ..listed(9, 0)
@@ -370,7 +370,7 @@
         test.ask(ONCE);
         let named = test.effects.iter().find_map(|effect| match effect {
             Effect::Send {
-                sending: Sending::Relay { upstream, .. },
+                outbound: Outbound::Relay { upstream, .. },
                 ..
             } => Some(upstream.to_string()),
             _ => None,
@@ -382,7 +382,7 @@
 #[gtest]
 fn leaving_upstream_gets_nothing_new() {
     let mut test = Test::new(1);
-    let leaving = Listed {
+    let leaving = ListEntry {
         leaving: true,
         ..listed(0, 0)
     };
@@ -397,7 +397,7 @@
 fn leaving_upstream_keeps_what_it_runs() {
     let mut test = Test::new(1);
     let sent = test.stream(1);
-    test.list(vec![Listed {
+    test.list(vec![ListEntry {
         leaving: true,
         ..listed(0, 0)
     }]);
@@ -410,7 +410,7 @@
     let mut test = Test::new(6);
     for upstream in [0, 1] {
         test.now = test.now.after(5);
-        test.tell(Event::Blamed(life(upstream, 0)));
+        test.tell(Event::LostReported(life(upstream, 0)));
     }
     for _ in 0..10 {
         test.ask(AGAIN);
@@ -424,7 +424,7 @@
     let sent = test.stream(1);
     test.fail(&sent, Failure::Broken);
     let blamed = test.effects.iter().find_map(|effect| match effect {
-        Effect::Blame(life) => Some(*life),
+        Effect::AnnounceLost(life) => Some(*life),
         _ => None,
     });
     expect_that!(blamed, some(eq(life(sent.upstream, 0))));
@@ -433,7 +433,7 @@
 #[gtest]
 fn caller_who_comes_back_goes_on_from_the_copy_that_was_told_of() {
     let mut test = Test::new(6);
-    test.tell(Event::Sighted(sighting(1, 4)));
+    test.tell(Event::StreamReported(sighting(1, 4)));
     test.ask_as("key", STREAM, 9);
     let sent = test.last();
     expect_that!(sent.upstream, eq(4));
@@ -444,7 +444,7 @@
 #[gtest]
 fn without_the_copy_the_upstream_that_ran_it_is_asked() {
     let mut test = Test::new(6);
-    test.tell(Event::Sighted(sighting(1, 4)));
+    test.tell(Event::StreamReported(sighting(1, 4)));
     test.ask_as("key", STREAM, 9);
     let sent = test.last();
     test.fail(&sent, Failure::Refused);
@@ -456,12 +456,12 @@
 #[gtest]
 fn stream_told_of_as_whole_is_not_gone_on_with() {
     let mut test = Test::new(6);
-    test.tell(Event::Sighted(sighting(1, 4)));
+    test.tell(Event::StreamReported(sighting(1, 4)));
     let ended = Sighting {
         stage: Stage::Ended,
         ..sighting(1, 4)
     };
-    test.tell(Event::Sighted(ended));
+    test.tell(Event::StreamReported(ended));
     test.ask_as("key", STREAM, 9);
     expect_that!(test.last().copy, none());
 }
@@ -469,14 +469,14 @@
 #[gtest]
 fn stream_whose_caller_left_can_still_be_gone_on_with() {
     let mut test = Test::new(6);
-    test.tell(Event::Sighted(sighting(1, 4)));
+    test.tell(Event::StreamReported(sighting(1, 4)));
     let left = Sighting {
         backup: None,
         stage: Stage::Left,
         upstream: None,
         ..sighting(1, 4)
     };
-    test.tell(Event::Sighted(left));
+    test.tell(Event::StreamReported(left));
     test.ask_as("key", STREAM, 9);
     expect_that!(test.last().copy, some(eq("run-before")));
 }
@@ -485,7 +485,7 @@
 fn other_instances_streams_count_as_load() {
     let mut test = Test::new(2);
     for prompt in 0..4 {
-        test.tell(Event::Sighted(Sighting {
+        test.tell(Event::StreamReported(Sighting {
             prompt: 1_000 + prompt,
             stage: Stage::Started,
             ..sighting(0, 9)
--- a/crates/core/tests/relay/notice.rs
+++ b/crates/core/tests/relay/notice.rs
@@ -26,7 +26,7 @@
     }
 
     pub(crate) fn says(&mut self, sent: &Sent, notice: Notice) {
-        self.tell(Event::Noticed {
+        self.tell(Event::NoticeReceived {
             attempt: sent.attempt,
             notice,
             upstream: sent.key,
@@ -72,7 +72,7 @@
 }
 
 /// Entries of the first upstreams.
-fn all(upstreams: usize) -> Vec<Listed> {
+fn all(upstreams: usize) -> Vec<ListEntry> {
     (0..upstreams).map(|index| listed(index, index)).collect()
 }
 
@@ -115,7 +115,7 @@
 #[gtest]
 fn word_of_leaving_says_nothing_of_the_next_life() {
     let mut test = Test::new(0);
-    let born = |born| Listed {
+    let born = |born| ListEntry {
         born,
         ..listed(0, 0)
     };
@@ -166,10 +166,10 @@
     let (mut test, left) = left_of_two();
     let sent = test.sent().first().cloned().unwrap();
     test.says_leaving(&sent);
-    let told = |effect: &&Effect| matches!(effect, Effect::Leaving { .. });
+    let told = |effect: &&Effect| matches!(effect, Effect::AnnounceLeaving { .. });
     expect_that!(test.effects.iter().filter(told).count(), eq(1));
     let mut other = Test::new(2);
-    other.tell(Event::Departing(life(left, 0)));
+    other.tell(Event::LeavingReported(life(left, 0)));
     expect_that!(other.asked(ONCE), elements_are![eq(&(1 - left))]);
     // What was told is not told on: each instance that hears it would tell all others.
     expect_that!(other.effects.iter().filter(told).count(), eq(0));
@@ -178,7 +178,7 @@
 #[gtest]
 fn word_that_was_told_holds_for_a_while_only() {
     let mut test = Test::new(2);
-    test.tell(Event::Departing(life(0, 0)));
+    test.tell(Event::LeavingReported(life(0, 0)));
     test.pass(31_000);
     expect_that!(test.asked(ONCE), elements_are![eq(&0), eq(&1)]);
 }
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -13,7 +13,7 @@
     for upstream in upstreams {
         account.add(life(upstream, 0), print(body), Part::Fresh, NOW);
     }
-    Event::Crashed(account.into())
+    Event::CrashReported(account.into())
 }
 
 /// Has upstreams end under a stream, one behind the other.
@@ -85,7 +85,7 @@
     expect_that!(test.sent().len(), eq(3));
     expect_that!(test.ends(), is_empty());
     let life = life(third.upstream, 0);
-    test.tell(Event::Checked { ended: false, life });
+    test.tell(Event::CrashChecked { ended: false, life });
     expect_that!(test.sent().len(), eq(4));
 }
 
@@ -116,7 +116,7 @@
 #[gtest]
 fn upstream_that_was_born_anew_has_ended_though_its_address_answers() {
     let mut test = Test::new(0);
-    let born = |index: usize, born: u64| Listed {
+    let born = |index: usize, born: u64| ListEntry {
         born,
         ..listed(index, index)
     };
@@ -131,7 +131,7 @@
         let sent = test.last();
         test.fail(&sent, Failure::Broken);
         let life = life(sent.upstream, births[sent.upstream]);
-        test.tell(Event::Checked { ended: false, life });
+        test.tell(Event::CrashChecked { ended: false, life });
         births[sent.upstream] += 5;
         test.list(list(&births));
     }
@@ -144,7 +144,7 @@
     test.ask(STREAM);
     for _ in 0..4 {
         let sent = test.last();
-        let mut all: Vec<Listed> = (0..9).map(|index| listed(index, index)).collect();
+        let mut all: Vec<ListEntry> = (0..9).map(|index| listed(index, index)).collect();
         all[sent.upstream].leaving = true;
         test.list(all);
         test.break_off(&sent, true);
@@ -190,7 +190,7 @@
     for _ in 0..2 {
         end_upstreams(&mut test, 2);
         let sent = test.last();
-        test.tell(Event::Opened(sent.attempt));
+        test.tell(Event::StreamOpened(sent.attempt));
         test.pass_on(&sent, 1);
         test.close(&sent, true);
     }
@@ -255,7 +255,8 @@
 fn instances_are_told_of_an_end_once() {
     let mut test = Test::new(9);
     end_upstreams(&mut test, 1);
-    let told = |effect: &&Effect| matches!(effect, Effect::Quarantine(effect::Quarantine::Tell(_)));
+    let told =
+        |effect: &&Effect| matches!(effect, Effect::Quarantine(effect::Quarantine::Announce(_)));
     expect_that!(test.effects.iter().filter(told).count(), eq(1));
 }
 
@@ -303,7 +304,7 @@
         test.now = test.now.after(25 * 3_600_000);
         test.tell(Event::Tick);
         let own = |effect: &Effect| match effect {
-            Effect::Quarantine(effect::Quarantine::Free { own, .. }) => Some(*own),
+            Effect::Quarantine(effect::Quarantine::Release { own, .. }) => Some(*own),
             _ => None,
         };
         test.effects.iter().filter_map(own).collect::<Vec<bool>>()
--- a/crates/core/tests/relay/room.rs
+++ b/crates/core/tests/relay/room.rs
@@ -23,7 +23,7 @@
         self.ask(STREAM);
         let sent = self.last();
         self.pass(1_000);
-        self.tell(Event::Opened(sent.attempt));
+        self.tell(Event::StreamOpened(sent.attempt));
         self.pass_on(&sent, 1);
         sent
     }
@@ -49,7 +49,7 @@
     let mut test = Test::new(1);
     test.burst(3);
     let first = test.sent()[0].clone();
-    test.tell(Event::Opened(first.attempt));
+    test.tell(Event::StreamOpened(first.attempt));
     test.pass_on(&first, 1);
     test.pass(10);
     expect_that!(test.sent().len(), eq(3));
@@ -95,7 +95,7 @@
     for _ in 0..40 {
         test.ask(STREAM);
         let sent = test.last();
-        test.tell(Event::Opened(sent.attempt));
+        test.tell(Event::StreamOpened(sent.attempt));
         test.pass_on(&sent, 1);
         copies.push(sent.backup.is_some());
     }
@@ -109,7 +109,7 @@
     for _ in 0..30 {
         test.ask(STREAM);
         let sent = test.last();
-        test.tell(Event::Opened(sent.attempt));
+        test.tell(Event::StreamOpened(sent.attempt));
         test.pass_on(&sent, 1);
     }
     // Ten requests of 5,200 tokens fit into 55,000.
@@ -123,7 +123,7 @@
     test.waits_elsewhere(2);
     test.ask(STREAM);
     expect_that!(test.sent(), is_empty());
-    test.tell(Event::Sighted(Sighting {
+    test.tell(Event::StreamReported(Sighting {
         prompt: 1,
         stage: Stage::Left,
         ..sighting(0, 0)
@@ -147,7 +147,9 @@
     let mut test = Test::new(1);
     test.burst(3);
     let waits = |effect: &&Effect| match effect {
-        Effect::Tell(sighting) => sighting.stage == Stage::Waiting && sighting.pool == "pool",
+        Effect::AnnounceStream(sighting) => {
+            sighting.stage == Stage::Waiting && sighting.pool == "pool"
+        }
         _ => false,
     };
     expect_that!(test.effects.iter().filter(waits).count(), eq(1));
@@ -162,7 +164,7 @@
     test.ask_within(14_000, "key", STREAM, 0);
     expect_that!(test.sent().len(), eq(2));
     let second = test.last();
-    test.tell(Event::Opened(second.attempt));
+    test.tell(Event::StreamOpened(second.attempt));
     test.pass_on(&second, 1);
     test.pass(10);
     expect_that!(test.sent().len(), eq(3));
@@ -219,12 +221,12 @@
 
 #[gtest]
 fn caller_who_has_a_part_waits_for_the_streams_that_were_kept() {
-    let mut test = Test::new(6).recalling();
+    let mut test = Test::new(6).restoring_streams();
     test.ask(ONCE);
     test.ask_as("key", STREAM, 9);
     expect_that!(test.sent().len(), eq(1));
-    test.tell(Event::Sighted(sighting(1, 4)));
-    test.tell(Event::Recalled);
+    test.tell(Event::StreamReported(sighting(1, 4)));
+    test.tell(Event::StreamsRestored);
     expect_that!(test.last().copy, some(eq("run-before")));
 }
 
@@ -245,7 +247,7 @@
             waiting,
         };
         let attempt = sent.attempt;
-        self.tell(Event::Carried { attempt, load });
+        self.tell(Event::PiggybackedLoad { attempt, load });
         self.answer(sent, Verdict::Good);
     }
 }
--- a/crates/core/tests/relay/version.rs
+++ b/crates/core/tests/relay/version.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// An upstream of a version at its place, entered in the order of the places.
-fn of_version(place: usize, version: &str) -> Listed {
-    Listed {
+fn of_version(place: usize, version: &str) -> ListEntry {
+    ListEntry {
         since: Position::new(0, 10 + place as u64),
         version: version.into(),
         ..listed(place, place)
@@ -12,7 +12,7 @@
 }
 
 /// Upstreams of two versions: the first six of one, the next six of another, entered later.
-fn both() -> Vec<Listed> {
+fn both() -> Vec<ListEntry> {
     let old = (0..6).map(|place| of_version(place, "v1"));
     let new = (6..12).map(|place| of_version(place, "v2"));
     old.chain(new).collect()
@@ -83,7 +83,7 @@
 #[gtest]
 fn copy_at_another_version_is_not_gone_on_from() {
     let mut test = beside();
-    test.tell(Event::Sighted(Sighting {
+    test.tell(Event::StreamReported(Sighting {
         backup: Some(life(8, 0)),
         upstream: Some(life(7, 0)),
         ..sighting(7, 8)
@@ -96,7 +96,7 @@
 #[gtest]
 fn another_version_is_given_work_once_nothing_of_the_one_in_force_stays() {
     let mut test = beside();
-    let leaving = both().into_iter().map(|listed| Listed {
+    let leaving = both().into_iter().map(|listed| ListEntry {
         leaving: listed.version == "v1",
         ..listed
     });
@@ -116,7 +116,7 @@
         leaving: true,
         ..Notice::default()
     };
-    test.tell(Event::Noticed {
+    test.tell(Event::NoticeReceived {
         attempt: sent.attempt,
         notice,
         upstream: sent.key,
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -4,7 +4,7 @@
     googletest::prelude::*,
     wellplank_core::{
         clock::Time,
-        event::Listed,
+        event::ListEntry,
         position::Position,
         roster::{Change, Entry, Roster, Word, Worth},
     },
@@ -22,7 +22,7 @@
 fn word(from: u64, to: u64) -> Word {
     let (from, to) = (at(from), at(to));
     let name = format!("engine-{}", to.revision);
-    let listed = Listed {
+    let listed = ListEntry {
         address: format!("10.0.0.1:{}", to.revision).parse().unwrap(),
         born: 0,
         data_centre: "hall".into(),
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -12,9 +12,9 @@
 
 impl Answer {
     /// The event that carries tokens.
-    fn chunk(&self, pieces: &[Piece], position: u32) -> Value {
+    fn chunk(&self, pieces: &[OutputToken], position: u32) -> Value {
         let text: String = pieces.iter().map(|piece| piece.text.as_str()).collect();
-        let tokens: Vec<u32> = pieces.iter().map(|piece| piece.token).collect();
+        let tokens: Vec<u32> = pieces.iter().map(|piece| piece.id).collect();
         json!({
             "choices": [{
                 "finish_reason": null,
--- a/crates/node/src/completions.rs
+++ b/crates/node/src/completions.rs
@@ -179,7 +179,7 @@
                 answer.identify(&cursor);
                 for piece in pieces {
                     text.push_str(&piece.text);
-                    tokens.push(piece.token);
+                    tokens.push(piece.id);
                 }
             }
         }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -149,9 +149,9 @@
         };
         let seed = rand::random();
         let mut core = Core::new(settings.core.clone(), settings.secret, seed, clock.now())
-            .standing_in(&settings.data_centre);
+            .in_data_centre(&settings.data_centre);
         if settings.hosted.is_some() {
-            core = core.recalling();
+            core = core.restoring_streams();
         }
         let task = Task {
             account: ends.account,
@@ -269,18 +269,18 @@
     /// Carries out one decision.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer(caller) => {
+            Effect::ForwardResponse(caller) => {
                 if let Some(Held::Answer(answer)) = self.take_held(caller) {
                     self.end(caller, Reply::Answer(answer));
                 }
             }
-            Effect::Believe {
-                belief,
+            Effect::LogUpstream {
+                change: belief,
                 born,
                 silent_ms,
                 upstream,
             } => note::believe(belief, born, silent_ms, &upstream),
-            Effect::Blame(life) => self.tell_others(gossip::Told::Lost(life)),
+            Effect::AnnounceLost(life) => self.tell_others(gossip::Told::Lost(life)),
             Effect::Cancel {
                 address,
                 attempt,
@@ -298,13 +298,13 @@
                     settle: claimer::Settle::Here(request),
                 });
             }
-            Effect::Close(caller) => self.end(caller, Reply::Close),
-            Effect::Cut(caller) => self.end(caller, Reply::Cut),
+            Effect::EndStream(caller) => self.end(caller, Reply::Close),
+            Effect::AbortStream(caller) => self.end(caller, Reply::Cut),
             Effect::Count(counter, count) => self.count(counter, count),
             Effect::Deliver {
                 caller,
                 cursor,
-                pieces,
+                tokens: pieces,
                 position,
             } => {
                 let reply = Reply::Tokens {
@@ -314,7 +314,7 @@
                 };
                 self.reply(caller, reply);
             }
-            Effect::Demand { demand, pressed } => {
+            Effect::AnnounceDemand { demand, pressed } => {
                 self.tell_others(gossip::Told::Demand { demand, pressed });
             }
             Effect::Detach(attempt) => self.abort(attempt),
@@ -334,18 +334,18 @@
                 position,
                 reason,
             } => self.end(caller, Reply::Finished { position, reason }),
-            Effect::Leaving { life, upstream } => self.leaves(life, &upstream),
-            Effect::Note(note) => note::write(&note),
-            Effect::Limit { life, rate } => {
+            Effect::AnnounceLeaving { life, upstream } => self.leaves(life, &upstream),
+            Effect::LogRequest(note) => note::write(&note),
+            Effect::AnnounceLimit { life, rate } => {
                 self.tell_others(gossip::Told::Limit { life, rate });
             }
-            Effect::Open(caller) => {
+            Effect::ForwardHead(caller) => {
                 if let Some(Held::Head(head)) = self.take_held(caller) {
                     self.reply(caller, Reply::Open(head));
                 }
             }
-            Effect::Pace(pace) => self.tell_others(gossip::Told::Pace(pace)),
-            Effect::Pass { bytes, caller } => self.reply(caller, Reply::Pass(bytes)),
+            Effect::AnnouncePace(pace) => self.tell_others(gossip::Told::Pace(pace)),
+            Effect::ForwardEvent { bytes, caller } => self.reply(caller, Reply::Pass(bytes)),
             Effect::Probe { address, upstream } => {
                 let probe = probe::run(self.probes.clone(), self.driver.clone(), upstream, address);
                 tokio::spawn(probe);
@@ -359,11 +359,11 @@
             Effect::Send {
                 address,
                 attempt,
-                sending,
+                outbound,
                 upstream,
-            } => self.send(address, attempt, sending, upstream),
-            Effect::Tell(sighting) => self.tell_others(gossip::Told::Stream(sighting)),
-            Effect::Timed(timing, millis) => {
+            } => self.send(address, attempt, outbound, upstream),
+            Effect::AnnounceStream(sighting) => self.tell_others(gossip::Told::Stream(sighting)),
+            Effect::RecordDuration(timing, millis) => {
                 self.meter.time(meter::Timed::Core(timing), millis as f64);
             }
         }
@@ -379,16 +379,16 @@
     /// Carries out a decision on requests that end their upstreams.
     fn quarantine(&self, effect: effect::Quarantine) {
         match effect {
-            effect::Quarantine::Check { address, life } => {
+            effect::Quarantine::CheckCrash { address, life } => {
                 tokio::spawn(check::run(self.driver.clone(), address, life));
             }
-            effect::Quarantine::Free { own, print } => {
+            effect::Quarantine::Release { own, print } => {
                 note::free(print);
                 if own {
                     self.keep(keeper::Kept::Nothing(print));
                 }
             }
-            effect::Quarantine::Keep(account) => {
+            effect::Quarantine::Publish(account) => {
                 self.account.send_replace(account::Known::new(account));
             }
             effect::Quarantine::Refuse { ends, own, print } => {
@@ -397,7 +397,7 @@
                     self.keep(keeper::Kept::Ends(print, ends));
                 }
             }
-            effect::Quarantine::Tell(news) => self.tell_others(gossip::Told::Ends(news)),
+            effect::Quarantine::Announce(news) => self.tell_others(gossip::Told::Ends(news)),
         }
     }
 
@@ -429,9 +429,9 @@
             self.callers.remove(caller);
         }
         if let Event::Answered { attempt, .. }
-        | Event::Closed { attempt, .. }
+        | Event::StreamEnded { attempt, .. }
         | Event::Failed { attempt, .. }
-        | Event::Finished { attempt, .. }
+        | Event::GenerationFinished { attempt, .. }
         | Event::Replied { attempt, .. } = &event
         {
             self.attempts.remove(attempt);
@@ -462,15 +462,15 @@
         &self,
         address: SocketAddr,
         attempt: attempt::Key,
-        sending: &Sending,
+        outbound: &Outbound,
         upstream: upstream::Key,
     ) -> Option<JoinHandle<()>> {
-        let Sending::Relay {
+        let Outbound::Relay {
             caller,
             streams,
             upstream: name,
             ..
-        } = sending
+        } = outbound
         else {
             return None;
         };
@@ -484,7 +484,7 @@
             upstream,
             upstream_name: name.clone(),
         };
-        let request = original.request(address, sending)?;
+        let request = original.request(address, outbound)?;
         Some(tokio::spawn(exchange.run(self.relaying.clone(), request)))
     }
 
@@ -492,12 +492,12 @@
         &mut self,
         address: SocketAddr,
         attempt: attempt::Key,
-        sending: Sending,
+        outbound: Outbound,
         upstream: upstream::Key,
     ) {
         let driver = self.driver.clone();
-        let task = match sending {
-            Sending::Call {
+        let task = match outbound {
+            Outbound::Call {
                 path,
                 payload,
                 repeatable,
@@ -512,10 +512,12 @@
                     tokio::spawn(plain::run(http.clone(), driver, attempt, upstream, request))
                 })
             }
-            sending @ Sending::Relay { .. } => self.forward(address, attempt, &sending, upstream),
-            sending => {
-                let attach = matches!(sending, Sending::Attach { .. });
-                engine::request(address, sending).map(|request| {
+            outbound @ Outbound::Relay { .. } => {
+                self.forward(address, attempt, &outbound, upstream)
+            }
+            outbound => {
+                let attach = matches!(outbound, Outbound::Attach { .. });
+                engine::request(address, outbound).map(|request| {
                     let http = self.fresh.clone();
                     tokio::spawn(engine::run(
                         http, driver, attempt, upstream, request, attach,
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -73,15 +73,15 @@
 }
 
 /// The request that starts or re-attaches to a stream; `None` if the payload is no object.
-pub(crate) fn request(address: SocketAddr, sending: Sending) -> Option<Request<http::Body>> {
-    match sending {
-        Sending::Attach { position, stream } => {
+pub(crate) fn request(address: SocketAddr, outbound: Outbound) -> Option<Request<http::Body>> {
+    match outbound {
+        Outbound::Attach { position, stream } => {
             let name = name(stream);
             let path = format!("/v1/completions/{name}?starting_after={position}");
             Some(http::get(address, &path))
         }
-        Sending::Call { .. } | Sending::Relay { .. } => None,
-        Sending::Generate {
+        Outbound::Call { .. } | Outbound::Relay { .. } => None,
+        Outbound::Generate {
             adapter,
             linger_ms,
             max_tokens,
@@ -119,7 +119,7 @@
             rest: value.to_str().map_or(Rest::Odd, Rest::read),
             ..Notice::default()
         };
-        driver.event(Event::Noticed {
+        driver.event(Event::NoticeReceived {
             attempt,
             notice,
             upstream,
@@ -168,16 +168,16 @@
         if !choice.token_ids.is_empty() {
             driver.event(Event::Tokens {
                 attempt,
-                pieces: pieces(&choice.token_ids, choice.text),
+                tokens: pieces(&choice.token_ids, choice.text),
                 position,
             });
         }
         if let Some(report) = chunk.load {
             let load = report.load();
-            driver.event(Event::Carried { attempt, load });
+            driver.event(Event::PiggybackedLoad { attempt, load });
         }
         if let Some(reason) = choice.finish_reason {
-            driver.event(Event::Finished {
+            driver.event(Event::GenerationFinished {
                 attempt,
                 position: end,
                 reason,
@@ -189,12 +189,12 @@
 }
 
 /// Tokens with their text; the text of several tokens goes with the last of them.
-fn pieces(tokens: &[u32], text: String) -> Vec<Piece> {
-    let mut pieces: Vec<Piece> = tokens
+fn pieces(tokens: &[u32], text: String) -> Vec<OutputToken> {
+    let mut pieces: Vec<OutputToken> = tokens
         .iter()
-        .map(|token| Piece {
+        .map(|token| OutputToken {
             text: String::new(),
-            token: *token,
+            id: *token,
         })
         .collect();
     if let Some(last) = pieces.last_mut() {
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -60,9 +60,9 @@
     pub fn request(
         &self,
         address: SocketAddr,
-        sending: &Sending,
+        outbound: &Outbound,
     ) -> Option<hyper::Request<http::Body>> {
-        let Sending::Relay {
+        let Outbound::Relay {
             backup,
             copy,
             customer,
@@ -70,7 +70,7 @@
             position,
             upstream,
             ..
-        } = sending
+        } = outbound
         else {
             return None;
         };
@@ -125,7 +125,7 @@
         match meaning {
             Meaning::Failed(failure) => Err(failure),
             Meaning::Stream => {
-                let event = Event::Opened(self.attempt);
+                let event = Event::StreamOpened(self.attempt);
                 let held = driver::Held::Head(Box::new(head));
                 self.driver.hold(self.attempt, self.caller, held, event);
                 self.stream(body, marked).await
@@ -153,7 +153,7 @@
             note::notice(&self.run, &self.upstream_name, status, &notice);
         }
         if notice != Notice::default() {
-            self.driver.event(Event::Noticed {
+            self.driver.event(Event::NoticeReceived {
                 attempt: self.attempt,
                 notice,
                 upstream: self.upstream,
@@ -174,7 +174,7 @@
             while let Some(end) = event_end(&buffer) {
                 let event: Vec<u8> = buffer.drain(..end).collect();
                 let position = platform::answer::position(&event).ok_or(Failure::Broken)?;
-                self.driver.event(Event::Passed {
+                self.driver.event(Event::StreamEvent {
                     attempt: self.attempt,
                     bytes: event.into(),
                     position,
@@ -184,7 +184,7 @@
         if !buffer.is_empty() {
             return Err(Failure::Broken);
         }
-        self.driver.event(Event::Closed {
+        self.driver.event(Event::StreamEnded {
             attempt: self.attempt,
             marked,
         });
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -196,22 +196,22 @@
         }
         self.take_ends(told.ends, told.account, told.asks, from);
         for life in told.lost {
-            self.driver.event(Event::Blamed(decode_life(life)));
+            self.driver.event(Event::LostReported(decode_life(life)));
         }
         for life in told.leaving {
-            self.driver.event(Event::Departing(decode_life(life)));
+            self.driver.event(Event::LeavingReported(decode_life(life)));
         }
         for limit in told.limits {
             let life = decode_life(limit.life.unwrap_or_default());
             let rate = limit.rate.map(Rate);
-            self.driver.event(Event::Limited { life, rate });
+            self.driver.event(Event::LimitReported { life, rate });
         }
         for demand in told.demands {
             let demand = decode_demand(demand);
-            self.driver.event(Event::Demanded { demand, from });
+            self.driver.event(Event::DemandReported { demand, from });
         }
         for pace in told.paces {
-            self.driver.event(Event::Paced(decode_pace(pace)));
+            self.driver.event(Event::PaceReported(decode_pace(pace)));
         }
         let word = told.roster.map(decode_word);
         let confirmed = told.confirmed.map(decode_confirmed);
@@ -240,7 +240,7 @@
     fn take_ends(&mut self, ends: Vec<peers::End>, digest: u64, asks: bool, from: SocketAddr) {
         if !ends.is_empty() {
             let account = account::decode(ends);
-            self.driver.event(Event::Crashed(account.into()));
+            self.driver.event(Event::CrashReported(account.into()));
         }
         let own = self.account.borrow().digest;
         let told = if asks {
@@ -260,7 +260,7 @@
 /// Tells the core of streams that other instances relay.
 pub(crate) fn sight(sightings: Vec<peers::Sighting>, driver: &Driver) {
     for sighting in sightings {
-        driver.event(Event::Sighted(decode(sighting)));
+        driver.event(Event::StreamReported(decode(sighting)));
     }
 }
 
@@ -507,7 +507,7 @@
     let entry = match entry.address.parse() {
         _ if entry.gone => Entry::Gone,
         _ if entry.odd => Entry::Odd,
-        Ok(address) => Entry::Listed(event::Listed {
+        Ok(address) => Entry::Listed(event::ListEntry {
             address,
             born: entry.born,
             data_centre: entry.data_centre,
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/learner.rs
@@ -171,9 +171,10 @@
             Output::TellConfiguration => drop(self.learner.told.send(gossip::Told::Configuration)),
             Output::Upstreams(listed) => {
                 let listed = Some(listed);
-                self.learner
-                    .driver
-                    .event(Event::List { asked: now, listed });
+                self.learner.driver.event(Event::List {
+                    requested_at: now,
+                    entries: listed,
+                });
             }
         }
     }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -50,20 +50,23 @@
             Read::Changed(lines, new_tag) => {
                 tag = new_tag;
                 let listed = Some(lines.iter().map(listed).collect());
-                driver.event(Event::List { asked, listed });
+                driver.event(Event::List {
+                    requested_at: asked,
+                    entries: listed,
+                });
                 sender.send_replace(lines);
             }
             Read::Failed => warn!("the platform's list did not answer"),
             Read::Same => driver.event(Event::List {
-                asked,
-                listed: None,
+                requested_at: asked,
+                entries: None,
             }),
         }
     }
 }
 
-fn listed(line: &Line) -> event::Listed {
-    event::Listed {
+fn listed(line: &Line) -> event::ListEntry {
+    event::ListEntry {
         address: line.address,
         born: 0,
         data_centre: line.data_centre.clone(),
--- a/crates/node/src/note.rs
+++ b/crates/node/src/note.rs
@@ -9,7 +9,7 @@
 };
 
 /// Writes the line of a change in what is believed of an upstream.
-pub(crate) fn believe(belief: Belief, born: u64, silent_ms: u64, upstream: &str) {
+pub(crate) fn believe(belief: StatusChange, born: u64, silent_ms: u64, upstream: &str) {
     let belief = belief.name();
     info!(upstream, born, belief, silent_ms; "upstream");
 }
@@ -48,7 +48,7 @@
 }
 
 /// Writes the line of a step. Relayed requests have the name that their caller gave them.
-pub(crate) fn write(note: &Note) {
+pub(crate) fn write(note: &RequestLog) {
     let own = || Uuid::from_u128(note.generation).to_string();
     let request = note.run.as_deref().map_or_else(own, str::to_owned);
     let customer = note.customer.name.as_str();
@@ -60,23 +60,23 @@
     let upstream = note.upstream.as_deref().unwrap_or_default();
     let position = note.position;
     let fingerprint = note.print.to_string();
-    match &note.what {
-        What::Answered => {
+    match &note.step {
+        Step::Answered => {
             info!(request, fingerprint, customer, service, model, upstream, position; "answered");
         }
-        What::Attached => {
+        Step::Attached => {
             info!(request, customer, service, model, upstream, position; "attached");
         }
-        What::Failed(kind) => {
+        Step::Failed(kind) => {
             let kind = kind.answer().name;
             warn!(request, fingerprint, customer, service, model, upstream, position, kind; "failed");
         }
-        What::Left => info!(request, customer, service, position; "caller left"),
-        What::Lost(reason) => {
+        Step::Left => info!(request, customer, service, position; "caller left"),
+        Step::Lost(reason) => {
             let reason = reason.to_string();
             warn!(request, fingerprint, customer, service, upstream, position, reason; "attempt lost");
         }
-        What::Sent {
+        Step::Sent {
             backup,
             copy,
             left_ms,
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -41,7 +41,7 @@
         /// Encoded cursor after them.
         cursor: [u8; cursor::LENGTH],
         /// The tokens.
-        pieces: Vec<Piece>,
+        pieces: Vec<OutputToken>,
         /// Position of the first of them.
         position: u32,
     },
--- a/crates/standin/src/bench.rs
+++ b/crates/standin/src/bench.rs
@@ -12,8 +12,8 @@
     config::{self, Config, Policy, Priority, Target},
     core::Core,
     counter::Counter,
-    effect::{Effect, Sending},
-    event::{Event, Failure, Listed, Piece, Submission},
+    effect::{Effect, Outbound},
+    event::{Event, Failure, ListEntry, OutputToken, Submission},
     position::Position,
     request::{Caller as Connection, Work},
     settings::Settings,
@@ -172,8 +172,8 @@
             Action::Event(instance, event) => self.tell(instance, event),
             Action::List(instance) => {
                 let event = Event::List {
-                    asked: self.timeline.now(),
-                    listed: Some(self.list()),
+                    requested_at: self.timeline.now(),
+                    entries: Some(self.list()),
                 };
                 self.tell(instance, event);
                 self.schedule(1_000, Action::List(instance));
@@ -269,7 +269,11 @@
                     self.outcome.moved += count;
                 }
             }
-            Effect::Deliver { caller, pieces, .. } => self.deliver(caller, pieces.len() as u32),
+            Effect::Deliver {
+                caller,
+                tokens: pieces,
+                ..
+            } => self.deliver(caller, pieces.len() as u32),
             Effect::Fail { caller, .. } => {
                 let Some(asked) = self.askers.remove(&caller) else {
                     return;
@@ -298,9 +302,9 @@
             Effect::Send {
                 address,
                 attempt,
-                sending,
+                outbound,
                 ..
-            } => self.send(instance, index_of(address), attempt, sending),
+            } => self.send(instance, index_of(address), attempt, outbound),
             _ => {}
         }
     }
@@ -355,8 +359,8 @@
         (-uniform.ln() * gap).round() as u64
     }
 
-    fn list(&self) -> Vec<Listed> {
-        let runners = (0..RUNNERS).map(|index| Listed {
+    fn list(&self) -> Vec<ListEntry> {
+        let runners = (0..RUNNERS).map(|index| ListEntry {
             born: 0,
             data_centre: String::new(),
             address: address_of(index),
@@ -368,7 +372,7 @@
             version: String::new(),
         });
         let live = (0..INSTANCES).filter(|index| self.cores[*index].is_some());
-        let instances = live.map(|index| Listed {
+        let instances = live.map(|index| ListEntry {
             born: 0,
             data_centre: String::new(),
             address: address_of(1_000 + index),
@@ -444,14 +448,14 @@
         self.timeline.schedule(wait, action);
     }
 
-    fn send(&mut self, instance: usize, index: usize, attempt: attempt::Key, sending: Sending) {
-        let Sending::Generate {
+    fn send(&mut self, instance: usize, index: usize, attempt: attempt::Key, outbound: Outbound) {
+        let Outbound::Generate {
             max_tokens,
             prefix,
             priority,
             stream,
             ..
-        } = sending
+        } = outbound
         else {
             return;
         };
@@ -491,23 +495,23 @@
         for stream in &mut runner.streams {
             if stream.slot && stream.ready <= now {
                 stream.left -= 1;
-                let piece = Piece {
+                let piece = OutputToken {
                     text: String::new(),
-                    token: stream.position ^ stream.name.0 as u32,
+                    id: stream.position ^ stream.name.0 as u32,
                 };
                 let tokens = Event::Tokens {
                     attempt: stream.attempt,
-                    pieces: vec![piece],
+                    tokens: vec![piece],
                     position: stream.position,
                 };
                 stream.position += 1;
                 said.push((stream.instance, tokens));
                 if carried && stream.position.is_multiple_of(LOAD_EVERY) {
                     let attempt = stream.attempt;
-                    said.push((stream.instance, Event::Carried { attempt, load }));
+                    said.push((stream.instance, Event::PiggybackedLoad { attempt, load }));
                 }
                 if stream.left == 0 {
-                    let finished = Event::Finished {
+                    let finished = Event::GenerationFinished {
                         attempt: stream.attempt,
                         position: stream.position,
                         reason: "length".into(),
--- a/crates/standin/src/crowd.rs
+++ b/crates/standin/src/crowd.rs
@@ -127,11 +127,11 @@
             received: None,
             service: String::new(),
             work: Work::Relay(Relay {
-                answer_tokens: 0,
+                max_answer_tokens: 0,
                 bytes: 100,
                 host: "host".into(),
                 path: asker.kind.path().into(),
-                patience_ms: Some(PATIENCE_MS - waited),
+                timeout_ms: Some(PATIENCE_MS - waited),
                 position: asker.position,
                 prompt: if asker.kind == Kind::Stream {
                     asker.print
--- a/crates/standin/src/fake.rs
+++ b/crates/standin/src/fake.rs
@@ -4,8 +4,8 @@
 use wellplank_core::{
     attempt,
     clock::Time,
-    effect::{Sending, Stream as Name},
-    event::{ClaimOutcome, Failure, Piece},
+    effect::{Outbound, Stream as Name},
+    event::{ClaimOutcome, Failure, OutputToken},
 };
 
 /// How an upstream behaves.
@@ -37,7 +37,7 @@
     /// The connection of an attempt is closed.
     Closed(Reader),
     /// Something was sent.
-    Sent(Reader, Sending),
+    Sent(Reader, Outbound),
 }
 
 /// A connection from an instance: which instance, and which attempt of it.
@@ -59,7 +59,7 @@
     /// A plain service answered.
     Replied,
     /// Tokens from a position on.
-    Tokens(u32, Vec<Piece>),
+    Tokens(u32, Vec<OutputToken>),
 }
 
 /// One run that an upstream began.
@@ -163,7 +163,7 @@
                 }
                 Vec::new()
             }
-            Arrival::Sent(reader, sending) => self.open(now, reader, sending),
+            Arrival::Sent(reader, outbound) => self.open(now, reader, outbound),
         }
     }
 
@@ -210,21 +210,22 @@
         said
     }
 
-    fn open(&mut self, now: Time, reader: Reader, sending: Sending) -> Vec<(Reader, Said)> {
+    fn open(&mut self, now: Time, reader: Reader, outbound: Outbound) -> Vec<(Reader, Said)> {
         let refusal = match self.mode {
             Mode::Leaving => Some(Failure::Leaving),
             Mode::Refusing => Some(Failure::Refused),
             _ => None,
         };
-        match (sending, refusal) {
-            (Sending::Attach { position, stream }, _) => {
+        match (outbound, refusal) {
+            (Outbound::Attach { position, stream }, _) => {
                 let name = (stream.generation, stream.number);
                 let Some(stream) = self.streams.get_mut(&name) else {
                     return vec![(reader, Said::Failed(Failure::UnknownStream))];
                 };
                 stream.reader = Some(reader);
                 let from = (position as usize).min(stream.tokens.len());
-                let pieces: Vec<Piece> = stream.tokens[from..].iter().copied().map(piece).collect();
+                let pieces: Vec<OutputToken> =
+                    stream.tokens[from..].iter().copied().map(piece).collect();
                 let mut said = vec![(reader, Said::Tokens(position, pieces))];
                 if stream.tokens.len() >= stream.max {
                     // It is whole; it lingers once more for another reader.
@@ -235,14 +236,14 @@
                 said
             }
             (_, Some(failure)) => vec![(reader, Said::Failed(failure))],
-            (Sending::Relay { .. }, None) => Vec::new(),
-            (Sending::Call { payload, .. }, None) => {
+            (Outbound::Relay { .. }, None) => Vec::new(),
+            (Outbound::Call { payload, .. }, None) => {
                 self.run(&payload, 0, 0);
                 self.calls.push((reader, now));
                 Vec::new()
             }
             (
-                Sending::Generate {
+                Outbound::Generate {
                     linger_ms,
                     max_tokens,
                     payload,
@@ -328,9 +329,9 @@
     }
 }
 
-fn piece(token: u32) -> Piece {
-    Piece {
+fn piece(token: u32) -> OutputToken {
+    OutputToken {
         text: String::new(),
-        token,
+        id: token,
     }
 }
--- a/crates/standin/src/learning.rs
+++ b/crates/standin/src/learning.rs
@@ -10,7 +10,7 @@
     absence::Absence,
     bound::Bound,
     clock::Time,
-    event::Listed,
+    event::ListEntry,
     informer::Informer,
     lesson::{Answer, Call, Confirmed, Heard, Input, Output},
     position::Position,
@@ -92,7 +92,7 @@
 /// An upstream.
 struct Upstream {
     alive: bool,
-    listed: Listed,
+    listed: ListEntry,
     /// Until when another writer's entry stands over its own.
     spoiled_until: Time,
 }
@@ -105,7 +105,7 @@
 }
 
 /// A life, as the observer knows it.
-fn label(listed: &Listed) -> String {
+fn label(listed: &ListEntry) -> String {
     format!("{} born at {}", listed.name, listed.born)
 }
 
@@ -743,7 +743,7 @@
     fn enter(&mut self) {
         let index = self.upstreams.len();
         let name = format!("upstream-{index}");
-        let listed = Listed {
+        let listed = ListEntry {
             address: ([127, 0, 0, 1], 1_000 + index as u16).into(),
             born: 0,
             data_centre: "dc-0".into(),
--- a/crates/standin/src/placing.rs
+++ b/crates/standin/src/placing.rs
@@ -7,8 +7,8 @@
     clock::Time,
     config::{self, Policy, Priority, Service, Target},
     core::Core,
-    effect::{Effect, Sending},
-    event::{Event, Failure, Listed, Submission},
+    effect::{Effect, Outbound},
+    event::{Event, Failure, ListEntry, Submission},
     life::Life,
     members::View,
     position::Position,
@@ -47,8 +47,8 @@
     }
 }
 
-fn listed(index: usize) -> Listed {
-    Listed {
+fn listed(index: usize) -> ListEntry {
+    ListEntry {
         address: SocketAddr::from(([127, 0, 0, 1], index as u16 + 1)),
         born: 0,
         data_centre: format!("dc-{}", index % 5),
@@ -76,11 +76,11 @@
 
 fn submission(number: u64) -> Submission {
     let relay = Relay {
-        answer_tokens: 1_000,
+        max_answer_tokens: 1_000,
         bytes: 100,
         host: ask::HOST.into(),
         path: ask::PATH.into(),
-        patience_ms: Some(25_000),
+        timeout_ms: Some(25_000),
         position: 0,
         prompt: 1_000_000 + number,
         run: number.to_string().into(),
@@ -96,20 +96,23 @@
         probes: false,
         ..Settings::default()
     };
-    let mut core = Core::new(settings, [0; 32], 1, START).standing_in("dc-0");
+    let mut core = Core::new(settings, [0; 32], 1, START).in_data_centre("dc-0");
     core.handle(
         START,
         Event::Config(Arc::new(ask::configuration(service()))),
     );
     core.handle(START, Event::Instances(View::numbered(0, 295)));
     let list = Event::List {
-        asked: START,
-        listed: Some((0..upstreams).map(listed).collect()),
+        requested_at: START,
+        entries: Some((0..upstreams).map(listed).collect()),
     };
     core.handle(START, list);
     let told = Instant::now();
     for prompt in 0..streams {
-        core.handle(START, Event::Sighted(sighting(prompt + 1, upstreams)));
+        core.handle(
+            START,
+            Event::StreamReported(sighting(prompt + 1, upstreams)),
+        );
     }
     let told = told.elapsed();
     let mut placing = Duration::ZERO;
@@ -122,7 +125,7 @@
         for effect in effects {
             if let Effect::Send {
                 attempt,
-                sending: Sending::Relay { .. },
+                outbound: Outbound::Relay { .. },
                 ..
             } = effect
             {
--- a/crates/standin/src/poison.rs
+++ b/crates/standin/src/poison.rs
@@ -269,7 +269,7 @@
         for instance in 0..self.instances.len() {
             self.tell(
                 instance,
-                wellplank_core::event::Event::Crashed(kept.clone().into()),
+                wellplank_core::event::Event::CrashReported(kept.clone().into()),
             );
         }
     }
--- a/crates/standin/src/pool.rs
+++ b/crates/standin/src/pool.rs
@@ -8,8 +8,8 @@
 use wellplank_core::{
     attempt,
     clock::Time,
-    effect::Sending,
-    event::{Event, Failure, Listed, Verdict},
+    effect::Outbound,
+    event::{Event, Failure, ListEntry, Verdict},
     position::Position,
     upstream,
 };
@@ -123,8 +123,8 @@
         }
     }
 
-    pub fn listed(&self) -> Vec<Listed> {
-        let listed = |(index, upstream): (usize, &Upstream)| Listed {
+    pub fn listed(&self) -> Vec<ListEntry> {
+        let listed = |(index, upstream): (usize, &Upstream)| ListEntry {
             address: address(index),
             born: 0,
             data_centre: format!("dc-{}", index % 3),
@@ -139,15 +139,15 @@
     }
 
     /// A request arrives at an upstream.
-    pub fn arrive(&mut self, line: Line, key: upstream::Key, upstream: usize, sending: &Sending) {
-        let Sending::Relay {
+    pub fn arrive(&mut self, line: Line, key: upstream::Key, upstream: usize, outbound: &Outbound) {
+        let Outbound::Relay {
             backup,
             caller,
             copy,
             position,
             upstream: name,
             ..
-        } = sending
+        } = outbound
         else {
             return;
         };
@@ -204,7 +204,7 @@
         }
         self.case.prompts += usize::from(copy.is_none());
         self.say(line, key, upstream, false);
-        self.event(line, Event::Opened(line.attempt));
+        self.event(line, Event::StreamOpened(line.attempt));
         let stream = Stream {
             asker,
             backup: backup.map(index),
@@ -259,7 +259,7 @@
         if stream.position > EVENTS {
             self.upstreams[upstream].streams.remove(&line);
             let marked = true;
-            self.event(line, Event::Closed { attempt, marked });
+            self.event(line, Event::StreamEnded { attempt, marked });
             return;
         }
         if let Some(backup) = stream.backup
@@ -273,7 +273,7 @@
         let position = stream.position;
         self.event(
             line,
-            Event::Passed {
+            Event::StreamEvent {
                 attempt,
                 bytes,
                 position,
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -5,7 +5,7 @@
 use wellplank_core::{
     clock::Time,
     config::Config,
-    event::Listed,
+    event::ListEntry,
     lesson::{Age, Answer, Call, Content, Topic},
     position::Position,
     roster::{Change, Entry},
@@ -131,7 +131,7 @@
     }
 
     /// Writes an upstream's entry, which lapses then; only another state of it is a change.
-    pub fn enter(&mut self, mut listed: Listed, lapses: Time) {
+    pub fn enter(&mut self, mut listed: ListEntry, lapses: Time) {
         let known = self.items.get(&listed.name);
         let since = known.map_or(self.revision + 1, |item| item.since);
         listed.since = Position::new(self.era, since);
--- a/crates/standin/src/relaying.rs
+++ b/crates/standin/src/relaying.rs
@@ -12,7 +12,7 @@
     config::{self, Config, Customer, Policy, Priority, Route, Service, Share, Target},
     core::Core,
     counter::{Counter, Timing},
-    effect::{self, Effect, Sending},
+    effect::{self, Effect, Outbound},
     event::{Event, Failure},
     kind::Ran,
     life::Life,
@@ -56,7 +56,7 @@
     /// A call that an upstream runs for a caller ends.
     Answer(Call),
     /// A request arrives at an upstream, which its instance knows by a key.
-    Arrive(Line, upstream::Key, usize, Sending),
+    Arrive(Line, upstream::Key, usize, Outbound),
     /// The connection of an attempt is closed at an upstream.
     Close(Line, usize),
     /// One life of an instance reads the list.
@@ -359,7 +359,7 @@
         let home = format!("dc-{}", index % 3);
         self.instances[index] = Instance {
             account: Default::default(),
-            core: Some(core.standing_in(&home)),
+            core: Some(core.in_data_centre(&home)),
             life,
             since: self.timeline.now(),
         };
@@ -368,7 +368,7 @@
         self.tell(index, Event::Instances(view));
         if self.poison.store {
             let kept = self.poison.kept.clone();
-            self.tell(index, Event::Crashed(kept.into()));
+            self.tell(index, Event::CrashReported(kept.into()));
         }
         self.timeline.schedule(0, Action::List(index, life));
         self.timeline.schedule(1, Action::Tick(index, life));
@@ -398,8 +398,8 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Answer(call) => self.reply(call),
-            Action::Arrive(line, key, upstream, sending) => {
-                self.arrive(line, key, upstream, &sending);
+            Action::Arrive(line, key, upstream, outbound) => {
+                self.arrive(line, key, upstream, &outbound);
             }
             Action::Ask(asker) => self.submit(asker),
             Action::Close(line, upstream) => {
@@ -409,7 +409,13 @@
                 if self.listing.is_some() {
                     let listed = Some(self.listed());
                     let asked = self.timeline.now();
-                    self.tell(instance, Event::List { asked, listed });
+                    self.tell(
+                        instance,
+                        Event::List {
+                            requested_at: asked,
+                            entries: listed,
+                        },
+                    );
                 }
                 self.timeline
                     .schedule(LIST_MS, Action::List(instance, life));
@@ -457,22 +463,22 @@
             life,
         };
         match effect {
-            Effect::Answer(caller) => self.end(caller, true),
-            Effect::Blame(life) => self.gossip(instance, &Event::Blamed(life)),
+            Effect::ForwardResponse(caller) => self.end(caller, true),
+            Effect::AnnounceLost(life) => self.gossip(instance, &Event::LostReported(life)),
             Effect::Cancel {
                 address, attempt, ..
             } => {
                 let close = Action::Close(line(attempt), index(address));
                 self.timeline.schedule(1, close);
             }
-            Effect::Quarantine(effect::Quarantine::Check { address, life }) => {
+            Effect::Quarantine(effect::Quarantine::CheckCrash { address, life }) => {
                 let upstream = &self.upstreams[index(address)];
                 let name = format!("{}-{}", index(address), upstream.life);
                 let runs = upstream.mode != Mode::Down && Life::new(&name, 0) == life;
                 let ended = !runs;
-                self.event_soon(instance, Event::Checked { ended, life });
+                self.event_soon(instance, Event::CrashChecked { ended, life });
             }
-            Effect::Quarantine(effect::Quarantine::Keep(account)) => {
+            Effect::Quarantine(effect::Quarantine::Publish(account)) => {
                 self.instances[instance].account = (account.digest(), account);
             }
             Effect::Quarantine(effect::Quarantine::Refuse { ends, own, .. }) => {
@@ -480,20 +486,24 @@
                     let _ = self.poison.kept.merge(&ends);
                 }
             }
-            Effect::Quarantine(effect::Quarantine::Tell(news)) => {
-                self.gossip(instance, &Event::Crashed(news.into()));
+            Effect::Quarantine(effect::Quarantine::Announce(news)) => {
+                self.gossip(instance, &Event::CrashReported(news.into()));
             }
-            Effect::Demand { demand, .. } => self.gossip(
+            Effect::AnnounceDemand { demand, .. } => self.gossip(
                 instance,
-                &Event::Demanded {
+                &Event::DemandReported {
                     demand,
                     from: address(instance),
                 },
             ),
-            Effect::Leaving { life, .. } => self.gossip(instance, &Event::Departing(life)),
-            Effect::Limit { life, rate } => self.gossip(instance, &Event::Limited { life, rate }),
-            Effect::Pace(pace) => self.gossip(instance, &Event::Paced(pace)),
-            Effect::Close(caller) => {
+            Effect::AnnounceLeaving { life, .. } => {
+                self.gossip(instance, &Event::LeavingReported(life))
+            }
+            Effect::AnnounceLimit { life, rate } => {
+                self.gossip(instance, &Event::LimitReported { life, rate })
+            }
+            Effect::AnnouncePace(pace) => self.gossip(instance, &Event::PaceReported(pace)),
+            Effect::EndStream(caller) => {
                 let asker = self.connections.get(&caller).copied();
                 if let Some(asker) = asker
                     && self.askers[asker].position != EVENTS
@@ -508,7 +518,7 @@
             Effect::Count(Counter::Invariant(invariant), _) => {
                 self.broken(format_args!("invariant {invariant}"));
             }
-            Effect::Cut(caller) => self.end(caller, false),
+            Effect::AbortStream(caller) => self.end(caller, false),
             Effect::Fail { caller, kind, .. } => {
                 let answer = kind.answer();
                 if let Some(asker) = self.connections.get(&caller) {
@@ -519,33 +529,35 @@
                 }
                 self.refuse(caller, kind);
             }
-            Effect::Pass { bytes, caller } => self.take(caller, &bytes),
+            Effect::ForwardEvent { bytes, caller } => self.take(caller, &bytes),
             Effect::Send {
                 address,
                 attempt,
-                sending,
+                outbound,
                 upstream,
             } => {
-                let arrive = Action::Arrive(line(attempt), upstream, index(address), sending);
+                let arrive = Action::Arrive(line(attempt), upstream, index(address), outbound);
                 self.timeline.schedule(1, arrive);
             }
-            Effect::Tell(sighting) => {
-                self.gossip(instance, &Event::Sighted(sighting));
+            Effect::AnnounceStream(sighting) => {
+                self.gossip(instance, &Event::StreamReported(sighting));
                 self.compare_accounts(instance);
             }
-            Effect::Timed(Timing::Resume, millis) => self.case.pauses_ms.push(millis as f64),
-            Effect::Believe { .. }
+            Effect::RecordDuration(Timing::Resume, millis) => {
+                self.case.pauses_ms.push(millis as f64)
+            }
+            Effect::LogUpstream { .. }
             | Effect::Claim { .. }
             | Effect::Count(..)
             | Effect::Deliver { .. }
             | Effect::Detach(_)
             | Effect::Finish { .. }
-            | Effect::Note(_)
-            | Effect::Open(_)
+            | Effect::LogRequest(_)
+            | Effect::ForwardHead(_)
             | Effect::Probe { .. }
             | Effect::Quarantine(_)
             | Effect::Reply { .. }
-            | Effect::Timed(..) => {}
+            | Effect::RecordDuration(..) => {}
         }
     }
 
@@ -565,8 +577,8 @@
             }
             let (own, other) = (own.1.clone(), other.1.clone());
             if self.random.random_range(0..10) > 0 {
-                self.event_soon(to, Event::Crashed(own.into()));
-                self.event_soon(from, Event::Crashed(other.into()));
+                self.event_soon(to, Event::CrashReported(own.into()));
+                self.event_soon(from, Event::CrashReported(other.into()));
             }
         }
     }
--- a/crates/standin/src/rush.rs
+++ b/crates/standin/src/rush.rs
@@ -10,8 +10,8 @@
     clock::Time,
     config::{self, Policy, Priority, Service, Target},
     core::Core,
-    effect::{Effect, Sending},
-    event::{Event, Failure, Listed, Verdict},
+    effect::{Effect, Outbound},
+    event::{Event, Failure, ListEntry, Verdict},
     limit::{Limit, Rate},
     members::View,
     notice::{Notice, Rest},
@@ -463,7 +463,7 @@
         let core = |index| {
             let seed = plan.seed * 1_000 + index as u64;
             let core = Core::new(settings.clone(), [0; 32], seed, START);
-            core.standing_in(&data_centre(index))
+            core.in_data_centre(&data_centre(index))
         };
         let mut random = Pcg64Mcg::seed_from_u64(plan.seed);
         let mut sum = 0.0;
@@ -501,8 +501,8 @@
             rush.tell(
                 instance,
                 Event::List {
-                    asked: START,
-                    listed: Some(rush.list()),
+                    requested_at: START,
+                    entries: Some(rush.list()),
                 },
             );
             let first = rush.random.random_range(0..10);
@@ -515,8 +515,8 @@
         rush
     }
 
-    fn list(&self) -> Vec<Listed> {
-        let listed = |index: usize| Listed {
+    fn list(&self) -> Vec<ListEntry> {
+        let listed = |index: usize| ListEntry {
             address: address(index),
             born: 0,
             data_centre: data_centre(HOMES[index]),
@@ -581,11 +581,11 @@
         let left = PATIENCE_MS - self.timeline.now().since(asker.begun);
         self.callers.insert(caller, index);
         let relay = Relay {
-            answer_tokens: 0,
+            max_answer_tokens: 0,
             bytes: 100,
             host: ask::HOST.into(),
             path: ask::PATH.into(),
-            patience_ms: Some(left),
+            timeout_ms: Some(left),
             position: 0,
             prompt: 0,
             run: self.next.to_string().into(),
@@ -606,7 +606,7 @@
 
     fn carry_out(&mut self, instance: usize, effect: Effect) {
         match effect {
-            Effect::Answer(caller) => {
+            Effect::ForwardResponse(caller) => {
                 if let Some(index) = self.callers.remove(&caller) {
                     let asker = &mut self.askers[index];
                     let took = self.timeline.now().since(asker.begun);
@@ -614,13 +614,13 @@
                 }
             }
             Effect::Cancel { attempt, .. } => self.leave(instance, attempt),
-            Effect::Demand { demand, pressed } => {
+            Effect::AnnounceDemand { demand, pressed } => {
                 let from = address(instance);
-                let event = Event::Demanded { demand, from };
+                let event = Event::DemandReported { demand, from };
                 self.spread(instance, &event, pressed);
             }
-            Effect::Limit { life, rate } => {
-                let event = Event::Limited { life, rate };
+            Effect::AnnounceLimit { life, rate } => {
+                let event = Event::LimitReported { life, rate };
                 for to in (0..self.cores.len()).filter(|to| *to != instance) {
                     if self.random.random::<f64>() >= LOST {
                         let action = Action::Tell(to, event.clone());
@@ -636,7 +636,7 @@
             Effect::Send {
                 address,
                 attempt,
-                sending: Sending::Relay { caller, .. },
+                outbound: Outbound::Relay { caller, .. },
                 upstream: key,
             } => {
                 let Some(asker) = self.callers.get(&caller).copied() else {
@@ -742,7 +742,7 @@
                 rest: Rest::For(rest_ms),
                 ..Notice::default()
             };
-            let noticed = Event::Noticed {
+            let noticed = Event::NoticeReceived {
                 attempt: self.lines[line].attempt,
                 notice,
                 upstream,
@@ -786,7 +786,7 @@
                 limited.limit()
             }
         };
-        let noticed = Event::Noticed {
+        let noticed = Event::NoticeReceived {
             attempt,
             notice: Notice {
                 limit,
--- a/crates/standin/src/surge.rs
+++ b/crates/standin/src/surge.rs
@@ -10,8 +10,8 @@
     clock::Time,
     config::{self, Policy, Priority, Service, Target},
     core::Core,
-    effect::{Effect, Sending},
-    event::{Event, Failure, Listed},
+    effect::{Effect, Outbound},
+    event::{Event, Failure, ListEntry},
     members::View,
     position::Position,
     request::{Caller, Relay},
@@ -238,7 +238,7 @@
         let core = |index| {
             let seed = plan.seed * 1_000 + index as u64;
             let core = Core::new(settings.clone(), [0; 32], seed, START);
-            core.standing_in(&format!("dc-{}", index % 3))
+            core.in_data_centre(&format!("dc-{}", index % 3))
         };
         let mut surge = Self {
             askers: Vec::new(),
@@ -253,7 +253,7 @@
             stepping: vec![false; plan.engines],
             timeline: Timeline::new(START),
         };
-        let listed = |index| Listed {
+        let listed = |index| ListEntry {
             address: address(index),
             born: 0,
             data_centre: format!("dc-{}", index % 3),
@@ -264,7 +264,7 @@
             slots: 0,
             version: String::new(),
         };
-        let list: Vec<Listed> = (0..plan.engines).map(listed).collect();
+        let list: Vec<ListEntry> = (0..plan.engines).map(listed).collect();
         for instance in 0..plan.instances {
             surge.tell(
                 instance,
@@ -278,8 +278,8 @@
             surge.tell(
                 instance,
                 Event::List {
-                    asked: START,
-                    listed,
+                    requested_at: START,
+                    entries: listed,
                 },
             );
             surge.timeline.schedule(1, Action::Tick(instance));
@@ -336,11 +336,11 @@
         let caller = Caller(self.next);
         let left = PATIENCE_MS - self.timeline.now().since(asker.begun);
         let relay = Relay {
-            answer_tokens: 1_020,
+            max_answer_tokens: 1_020,
             bytes: 100,
             host: ask::HOST.into(),
             path: ask::PATH.into(),
-            patience_ms: Some(left),
+            timeout_ms: Some(left),
             position: 0,
             prompt: index as u64 + 1,
             run: self.next.to_string().into(),
@@ -363,19 +363,19 @@
 
     fn carry_out(&mut self, instance: usize, effect: Effect) {
         match effect {
-            Effect::Blame(life) => {
+            Effect::AnnounceLost(life) => {
                 for other in (0..self.cores.len()).filter(|other| *other != instance) {
-                    let event = Event::Blamed(life);
+                    let event = Event::LostReported(life);
                     self.timeline.schedule(WAY_MS, Action::Tell(other, event));
                 }
             }
             Effect::Cancel { attempt, .. } => self.drop_lines(instance, attempt),
-            Effect::Close(caller) => {
+            Effect::EndStream(caller) => {
                 if let Some(asker) = self.callers.remove(&caller) {
                     self.askers[asker].state = State::Whole;
                 }
             }
-            Effect::Cut(caller) => {
+            Effect::AbortStream(caller) => {
                 self.callers.remove(&caller);
             }
             Effect::Fail {
@@ -383,15 +383,15 @@
                 retry_after_ms,
                 ..
             } => self.refuse(caller, retry_after_ms),
-            Effect::Pass { caller, .. } => {
+            Effect::ForwardEvent { caller, .. } => {
                 let now = self.timeline.now();
                 if let Some(asker) = self.callers.get(&caller) {
                     self.askers[*asker].first.get_or_insert(now);
                 }
             }
-            Effect::Pace(pace) => {
+            Effect::AnnouncePace(pace) => {
                 for other in (0..self.cores.len()).filter(|other| *other != instance) {
-                    let event = Event::Paced(pace.clone());
+                    let event = Event::PaceReported(pace.clone());
                     self.timeline
                         .schedule(CARRIED_MS, Action::Tell(other, event));
                 }
@@ -399,7 +399,7 @@
             Effect::Send {
                 address,
                 attempt,
-                sending: Sending::Relay { backup, caller, .. },
+                outbound: Outbound::Relay { backup, caller, .. },
                 ..
             } => {
                 let Some(asker) = self.callers.get(&caller).copied() else {
@@ -416,9 +416,9 @@
                 let line = self.lines.len() - 1;
                 self.timeline.schedule(WAY_MS, Action::Arrive(line, asker));
             }
-            Effect::Tell(sighting) => {
+            Effect::AnnounceStream(sighting) => {
                 for other in (0..self.cores.len()).filter(|other| *other != instance) {
-                    let event = Event::Sighted(sighting.clone());
+                    let event = Event::StreamReported(sighting.clone());
                     self.timeline.schedule(WAY_MS, Action::Tell(other, event));
                 }
             }
@@ -501,13 +501,13 @@
             ..
         } = self.lines[line];
         if !std::mem::replace(&mut self.lines[line].open, true) {
-            self.tell(instance, Event::Opened(attempt));
+            self.tell(instance, Event::StreamOpened(attempt));
         }
         match made {
             Made::End => {
                 self.drop_line(line);
                 let marked = true;
-                self.tell(instance, Event::Closed { attempt, marked });
+                self.tell(instance, Event::StreamEnded { attempt, marked });
             }
             Made::Event(position) => {
                 if let Some(backup) = backup {
@@ -515,7 +515,7 @@
                     self.engines[backup].copy(line, tokens);
                 }
                 let bytes = Arc::from(&b"event"[..]);
-                let passed = Event::Passed {
+                let passed = Event::StreamEvent {
                     attempt,
                     bytes,
                     position,
--- a/crates/standin/src/word.rs
+++ b/crates/standin/src/word.rs
@@ -82,7 +82,7 @@
             rest,
             ..Notice::default()
         };
-        let noticed = Event::Noticed {
+        let noticed = Event::NoticeReceived {
             attempt: line.attempt,
             notice,
             upstream: key,
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -11,8 +11,8 @@
     clock::Time,
     core::Core,
     counter::Counter,
-    effect::{self, Effect, Sending},
-    event::{Event, Failure, Listed},
+    effect::{self, Effect, Outbound},
+    event::{Event, Failure, ListEntry},
     kind::Ran,
     position::Position,
     request::{self, Caller as Connection},
@@ -340,12 +340,12 @@
                     self.schedule(3, Action::Arrive(upstream, Arrival::Cancel(stream)));
                 }
             }
-            Effect::Quarantine(effect::Quarantine::Check { address, life }) => {
+            Effect::Quarantine(effect::Quarantine::CheckCrash { address, life }) => {
                 let ended = match self.upstreams[index_of(address)].mode {
                     Mode::CutOut | Mode::Frozen | Mode::Silent => return,
                     mode => mode == Mode::Dead,
                 };
-                self.event(instance, 3, Event::Checked { ended, life });
+                self.event(instance, 3, Event::CrashChecked { ended, life });
             }
             Effect::Claim { claim, request } => self.claim(instance, &claim, request),
             Effect::Count(counter, count) => {
@@ -354,10 +354,10 @@
             Effect::Deliver {
                 caller,
                 cursor,
-                pieces,
+                tokens: pieces,
                 position,
             } => {
-                let tokens: Vec<u32> = pieces.iter().map(|piece| piece.token).collect();
+                let tokens: Vec<u32> = pieces.iter().map(|piece| piece.id).collect();
                 self.receive(caller, position, &tokens, &cursor);
             }
             Effect::Detach(attempt) => {
@@ -372,21 +372,21 @@
                 self.end(caller, End::Whole);
             }
             // Nobody relays in this world.
-            Effect::Answer(_)
-            | Effect::Believe { .. }
-            | Effect::Blame(_)
-            | Effect::Close(_)
-            | Effect::Cut(_)
-            | Effect::Demand { .. }
-            | Effect::Leaving { .. }
-            | Effect::Limit { .. }
-            | Effect::Note { .. }
-            | Effect::Open(_)
-            | Effect::Pace(_)
-            | Effect::Pass { .. }
+            Effect::ForwardResponse(_)
+            | Effect::LogUpstream { .. }
+            | Effect::AnnounceLost(_)
+            | Effect::EndStream(_)
+            | Effect::AbortStream(_)
+            | Effect::AnnounceDemand { .. }
+            | Effect::AnnounceLeaving { .. }
+            | Effect::AnnounceLimit { .. }
+            | Effect::LogRequest { .. }
+            | Effect::ForwardHead(_)
+            | Effect::AnnouncePace(_)
+            | Effect::ForwardEvent { .. }
             | Effect::Quarantine(_)
-            | Effect::Tell(_)
-            | Effect::Timed(..) => {}
+            | Effect::AnnounceStream(_)
+            | Effect::RecordDuration(..) => {}
             Effect::Probe { address, upstream } => {
                 let index = index_of(address);
                 let alive = match self.upstreams[index].mode {
@@ -408,11 +408,11 @@
             Effect::Send {
                 address,
                 attempt,
-                sending,
+                outbound,
                 ..
             } => {
                 let reader = reader(attempt);
-                self.send(instance, index_of(address), reader, sending);
+                self.send(instance, index_of(address), reader, outbound);
             }
         }
     }
@@ -461,7 +461,7 @@
 
     fn list(&mut self, instance: usize) {
         let listed = (0..self.upstreams.len())
-            .map(|index| Listed {
+            .map(|index| ListEntry {
                 born: 0,
                 data_centre: String::new(),
                 address: address_of(index),
@@ -472,7 +472,7 @@
                 slots: 0,
                 version: String::new(),
             })
-            .chain((0..self.instances.len()).map(|index| Listed {
+            .chain((0..self.instances.len()).map(|index| ListEntry {
                 born: 0,
                 data_centre: String::new(),
                 address: address_of(1_000 + index),
@@ -485,8 +485,8 @@
             }))
             .collect();
         let event = Event::List {
-            asked: self.timeline.now(),
-            listed: Some(listed),
+            requested_at: self.timeline.now(),
+            entries: Some(listed),
         };
         self.event(instance, 1, event);
         self.schedule(LIST_MS, Action::List(instance));
@@ -504,7 +504,7 @@
         let attempt = reader.attempt;
         let event = match said {
             Said::Failed(failure) => Event::Failed { attempt, failure },
-            Said::Finished(position) => Event::Finished {
+            Said::Finished(position) => Event::GenerationFinished {
                 attempt,
                 position,
                 reason: "length".into(),
@@ -516,7 +516,7 @@
             },
             Said::Tokens(position, pieces) => Event::Tokens {
                 attempt,
-                pieces,
+                tokens: pieces,
                 position,
             },
         };
@@ -527,20 +527,20 @@
         self.timeline.schedule(wait, action);
     }
 
-    fn send(&mut self, instance: usize, index: usize, reader: Reader, sending: Sending) {
+    fn send(&mut self, instance: usize, index: usize, reader: Reader, outbound: Outbound) {
         let late = self.left[index].is_some_and(|left| self.timeline.now().since(left) > LEAVE_MS);
-        if late && !matches!(sending, Sending::Attach { .. }) {
+        if late && !matches!(outbound, Outbound::Attach { .. }) {
             self.violations
                 .push(format!("{index} got work long after it began to leave"));
         }
         for asker in &mut self.askers {
-            let payload = match &sending {
-                Sending::Attach { .. } | Sending::Relay { .. } => continue,
-                Sending::Call { payload, .. } | Sending::Generate { payload, .. } => payload,
+            let payload = match &outbound {
+                Outbound::Attach { .. } | Outbound::Relay { .. } => continue,
+                Outbound::Call { payload, .. } | Outbound::Generate { payload, .. } => payload,
             };
             if asker.payload.to_string().as_bytes() == &payload[..] {
                 let continues =
-                    matches!(&sending, Sending::Generate { prefix, .. } if !prefix.is_empty());
+                    matches!(&outbound, Outbound::Generate { prefix, .. } if !prefix.is_empty());
                 asker.sent_to = Some(index);
                 asker.steps.push(if continues {
                     Step::Continuing
@@ -558,7 +558,7 @@
             Mode::Silent => self.event(instance, CONNECT_MS, failure(Failure::NotSent)),
             _ => {
                 let wait = self.random.random_range(1..4);
-                self.schedule(wait, Action::Arrive(index, Arrival::Sent(reader, sending)));
+                self.schedule(wait, Action::Arrive(index, Arrival::Sent(reader, outbound)));
             }
         }
     }
