--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -31,7 +31,7 @@
 }
 
 /// Customer and service of a request that names a declared service.
-fn declared(
+fn declared_service(
     config: &Config,
     submission: &event::Submission,
 ) -> Result<(Arc<config::Customer>, Arc<config::Service>), Kind> {
@@ -56,10 +56,10 @@
 impl Core {
     pub(crate) fn submit(&mut self, submission: event::Submission) {
         if !self.knows_enough(&submission)
-            && let Some(until) = self.early_until(&submission)
+            && let Some(until) = self.defer_until(&submission)
         {
-            self.early.push(Early {
-                came: self.now,
+            self.deferred.push(DeferredRequest {
+                arrived_at: self.now,
                 submission,
                 until,
             });
@@ -73,30 +73,30 @@
     fn knows_enough(&self, submission: &event::Submission) -> bool {
         let goes_on = |relay: &request::Relay| relay.position > 0;
         let goes_on = submission.work.relay().is_some_and(goes_on);
-        self.config.is_some() && self.list_read_at.is_some() && (self.recalled || !goes_on)
+        self.config.is_some() && self.list_read_at.is_some() && (self.streams_restored || !goes_on)
     }
 
     /// All streams that were kept before the start are known.
-    pub(crate) fn recalled(&mut self) {
-        self.recalled = true;
+    pub(crate) fn streams_restored(&mut self) {
+        self.streams_restored = true;
         self.submit_deferred();
     }
 
     /// Takes what waited and can be served now, and what has waited long enough.
     pub(crate) fn submit_deferred(&mut self) {
-        for early in std::mem::take(&mut self.early) {
-            if self.now < early.until && !self.knows_enough(&early.submission) {
-                self.early.push(early);
+        for deferred in std::mem::take(&mut self.deferred) {
+            if self.now < deferred.until && !self.knows_enough(&deferred.submission) {
+                self.deferred.push(deferred);
             } else {
-                self.submit_waited(early);
+                self.submit_after_wait(deferred);
             }
         }
     }
 
     /// Takes or refuses a request that has waited; its caller has less time left than it said.
-    fn submit_waited(&mut self, early: Early) {
-        let mut submission = early.submission;
-        let waited = self.now.since(early.came);
+    fn submit_after_wait(&mut self, deferred: DeferredRequest) {
+        let mut submission = deferred.submission;
+        let waited = self.now.since(deferred.arrived_at);
         if let Work::Relay(relay) = &mut submission.work {
             let patience = relay.timeout_ms.as_mut();
             if let Some(patience) = patience {
@@ -108,11 +108,11 @@
 
     /// Until when a request may wait for what this instance does not know yet: a part of its caller's patience,
     /// as far as there is memory for it. The store may be back before.
-    fn early_until(&self, submission: &event::Submission) -> Option<Time> {
+    fn defer_until(&self, submission: &event::Submission) -> Option<Time> {
         let patience = submission.work.relay()?.timeout_ms?;
         let wait = (patience as f64 * self.settings.room.early) as u64;
-        let bytes = |early: &Early| early.submission.work.bytes();
-        let held: u64 = self.early.iter().map(bytes).sum();
+        let bytes = |deferred: &DeferredRequest| deferred.submission.work.bytes();
+        let held: u64 = self.deferred.iter().map(bytes).sum();
         let room = held + submission.work.bytes() <= self.settings.held_bytes_max;
         (wait > 0 && room).then(|| self.now.after(wait))
     }
@@ -159,8 +159,8 @@
     fn admit(&mut self, submission: event::Submission) -> Result<request::Key, Refusal> {
         let config = self.config.clone().ok_or_else(|| not_ready(&submission))?;
         let (customer, service) = match submission.work.relay() {
-            Some(relay) => self.relayed(&config, &submission.customer, relay)?,
-            None => declared(&config, &submission)?,
+            Some(relay) => self.route_relayed(&config, &submission.customer, relay)?,
+            None => declared_service(&config, &submission)?,
         };
         if !customer.services.is_empty() && !customer.services.contains(&service.name) {
             return Err(Kind::Unauthorized.into());
@@ -170,21 +170,21 @@
             return Err(Kind::Quarantined.into());
         }
         self.check_work(&submission, &service)?;
-        self.check_room(&customer, &service, &submission)?;
-        let mut request = self.request(submission, customer, service, print)?;
-        self.note_size(&request);
+        self.check_capacity(&customer, &service, &submission)?;
+        let mut request = self.build_request(submission, customer, service, print)?;
+        self.record_size(&request);
         let checked = self.check_open(&request);
         let checked = checked.and_then(|()| self.check_time(&request));
         if let Err(refusal) = checked.and_then(|()| self.check_demand(&request)) {
             self.count_refused(&request);
             return Err(refusal);
         }
-        request.held = request.work.bytes() + 4 * u64::from(request.work.max_tokens());
-        self.held += request.held;
+        request.held_bytes = request.work.bytes() + 4 * u64::from(request.work.max_tokens());
+        self.held_bytes += request.held_bytes;
         self.count(Counter::Admitted);
         let pool = self.pools.entry(request.service.pool().into()).or_default();
-        pool.retries.earn(self.settings.retry_earn);
-        self.hedges.earn(self.settings.hedge_earn);
+        pool.retry_budget.earn(self.settings.retry_earn);
+        self.hedge_budget.earn(self.settings.hedge_earn);
         *self
             .running
             .entry(request.customer.name.clone())
@@ -203,7 +203,7 @@
     }
 
     /// Notes how long a request is.
-    fn note_size(&mut self, request: &Request) {
+    fn record_size(&mut self, request: &Request) {
         let tokens = request.work.relay().map_or(0, |relay| relay.tokens);
         let pool = self.pools.entry(request.service.pool().into()).or_default();
         if tokens > 0 {
@@ -211,20 +211,20 @@
         }
     }
 
-    fn check_room(
+    fn check_capacity(
         &mut self,
         customer: &config::Customer,
         service: &config::Service,
         submission: &event::Submission,
     ) -> Result<(), Refusal> {
         if submission.work.relay().is_some() {
-            return self.check_held(submission.work.bytes());
+            return self.check_memory(submission.work.bytes());
         }
         let resumed = submission.cursor.is_some();
         let running = self.running.get(&customer.name).copied().unwrap_or(0);
         if running >= customer.max_running.div_ceil(self.instances.max(1)) {
             let pool = self.pools.entry(service.pool().into()).or_default();
-            let wait = pool.duration as u64 / u64::from(running.max(1));
+            let wait = pool.mean_duration_ms as u64 / u64::from(running.max(1));
             return Err(Refusal {
                 kind: Kind::CustomerLimit,
                 retry_after_ms: Some(wait.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end())),
@@ -241,7 +241,7 @@
             .get(service.pool())
             .map_or(0, |pool| pool.queue.len());
         let bytes = submission.work.bytes() + 4 * u64::from(submission.work.max_tokens());
-        let full = self.held + bytes > self.settings.held_bytes_max;
+        let full = self.held_bytes + bytes > self.settings.held_bytes_max;
         let wait = self.expected_wait(service.pool(), service.priority, customer);
         let late = !resumed && wait as f64 > WAIT_MARGIN * service.max_wait_ms as f64;
         if full || late || queued >= self.settings.queue_max {
@@ -255,8 +255,8 @@
 
     /// Whether there is memory for a relayed request. It waits for an upstream rather than be
     /// refused while one may be free.
-    fn check_held(&self, bytes: u64) -> Result<(), Refusal> {
-        if self.held + bytes <= self.settings.held_bytes_max {
+    fn check_memory(&self, bytes: u64) -> Result<(), Refusal> {
+        if self.held_bytes + bytes <= self.settings.held_bytes_max {
             return Ok(());
         }
         Err(Refusal {
@@ -285,7 +285,7 @@
     }
 
     /// Customer and service of a relayed request, by its route.
-    fn relayed(
+    fn route_relayed(
         &mut self,
         config: &Config,
         customer: &str,
@@ -331,7 +331,7 @@
             .map(Upstream::slots)
             .sum();
         let share = f64::from(slots.max(1)) / f64::from(self.instances.max(1));
-        (ahead as f64 * pool.duration / share.max(1.0)) as u64
+        (ahead as f64 * pool.mean_duration_ms / share.max(1.0)) as u64
     }
 
     /// Whether a pool has an upstream that is neither given up on nor leaving.
@@ -349,11 +349,14 @@
         let Some(patience) = patience_ms else {
             return 0;
         };
-        let longest = self.patiences.entry(service.name.clone()).or_default();
+        let longest = self
+            .longest_timeouts
+            .entry(service.name.clone())
+            .or_default();
         longest.note(patience, self.now)
     }
 
-    fn request(
+    fn build_request(
         &mut self,
         submission: event::Submission,
         customer: Arc<config::Customer>,
@@ -375,7 +378,7 @@
         let objective = service.relay().map_or(u64::MAX, |relay| relay.objective_ms);
         let first_event_due = self.now.after(objective).0.saturating_sub(waited_ms);
         let progress = relay.map_or_else(request::RelayProgress::default, |relay| {
-            self.progress(relay)
+            self.initial_progress(relay)
         });
         let claim = if cursor.is_none() && !service.repeatable && relay.is_none() {
             let key = submission.key.ok_or(Kind::KeyRequired)?;
@@ -402,21 +405,21 @@
         }
         Ok(Request {
             arrived_at: self.now,
-            attach: cursor,
+            resume_cursor: cursor,
             attempts: Vec::new(),
             avoided_upstream: None,
             caller: submission.caller,
             claim,
-            claim_asked: self.now,
-            counted: false,
+            claim_requested_at: self.now,
+            counts_as_running: false,
             customer,
             deadline: self.now.after(deadline_ms),
             delivered: received,
             digest,
             fingerprint: submission.fingerprint,
-            following: false,
+            follows_peer: false,
             generation: cursor.map_or(submission.generation, |cursor| cursor.generation),
-            held: 0,
+            held_bytes: 0,
             may_have_run: cursor.is_some(),
             number: cursor.map_or(0, |cursor| cursor.attempt),
             progress,
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -20,7 +20,7 @@
     /// Upstream that keeps a copy of the run's memory, for relayed streams.
     pub backup: Option<upstream::Key>,
     /// The copy of the run's memory that it goes on from, if any.
-    pub copy: Option<request::Copy>,
+    pub copy: Option<request::KvCopy>,
     /// Number within the generation, from 1.
     pub number: u32,
     /// The request that is served.
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -23,13 +23,13 @@
     /// What all instances ask of it.
     pub demands: Demands,
     /// Running mean of the time from sending to the end, in milliseconds.
-    pub duration: f64,
+    pub mean_duration_ms: f64,
     /// Paces of its upstreams, and how long they have had no room.
     pub gauge: Gauge,
     /// Work that waits.
     pub queue: Queue,
     /// Requests that may be sent a second time.
-    pub retries: Budget,
+    pub retry_budget: Budget,
     /// Tokens of a request, in the mean.
     pub tokens: gauge::Mean,
     /// Its upstreams.
@@ -44,10 +44,10 @@
     fn default() -> Self {
         Self {
             demands: Demands::default(),
-            duration: DURATION_START,
+            mean_duration_ms: DURATION_START,
             gauge: Gauge::default(),
             queue: Queue::default(),
-            retries: Budget::new(BUDGET, BUDGET_REFILL, Time::default()),
+            retry_budget: Budget::new(BUDGET, BUDGET_REFILL, Time::default()),
             tokens: gauge::Mean::default(),
             upstreams: Vec::new(),
             version: None,
@@ -58,9 +58,9 @@
 
 /// A request that waits until this instance knows enough after its start.
 #[derive(Clone, Debug)]
-pub(crate) struct Early {
+pub(crate) struct DeferredRequest {
     /// When it came.
-    pub came: Time,
+    pub arrived_at: Time,
     /// The request.
     pub submission: event::Submission,
     /// Until when it waits.
@@ -75,10 +75,10 @@
     /// Data centre that this instance stands in; empty if it does not matter.
     pub(crate) data_centre: Arc<str>,
     /// Requests that came before there was a configuration, and until when each waits for one.
-    pub(crate) early: Vec<Early>,
+    pub(crate) deferred: Vec<DeferredRequest>,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) hedges: Budget,
-    pub(crate) held: u64,
+    pub(crate) hedge_budget: Budget,
+    pub(crate) held_bytes: u64,
     pub(crate) instances: u32,
     pub(crate) seed: u64,
     /// Upstreams by their lives; of each name at most one.
@@ -86,13 +86,13 @@
     pub(crate) members: Members,
     pub(crate) now: Time,
     /// How long callers of each service wait.
-    pub(crate) patiences: HashMap<String, patience::Longest>,
+    pub(crate) longest_timeouts: HashMap<String, patience::Longest>,
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
     /// When the store last showed the list of upstreams; `None` before it was read.
     pub(crate) list_read_at: Option<Time>,
     /// Whether the streams that were kept before its start are known.
-    pub(crate) recalled: bool,
-    pub(crate) reclaims: Vec<(Time, request::Key)>,
+    pub(crate) streams_restored: bool,
+    pub(crate) claim_retries: Vec<(Time, request::Key)>,
     pub(crate) requests: SlotMap<request::Key, Request>,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) rotation: usize,
@@ -121,7 +121,7 @@
 
     /// Count of requests accepted and not yet answered.
     pub fn running(&self) -> usize {
-        self.requests.len() + self.early.len()
+        self.requests.len() + self.deferred.len()
     }
 
     /// Upstreams known.
@@ -138,23 +138,23 @@
             self.wake(gap);
         }
         match event {
-            Event::Answered { attempt, verdict } => self.answered(attempt, verdict),
-            Event::LostReported(life) => self.blamed(life),
-            Event::CallerGone(caller) => self.caller_gone(caller),
+            Event::Answered { attempt, verdict } => self.handle_response(attempt, verdict),
+            Event::LostReported(life) => self.record_peer_loss(life),
+            Event::CallerGone(caller) => self.handle_caller_gone(caller),
             Event::PiggybackedLoad { attempt, load } => self.carried(attempt, load),
             Event::CrashChecked { ended, life } => self.checked(life, ended),
-            Event::Claimed { request, outcome } => self.claimed(request, outcome),
-            Event::StreamEnded { attempt, marked } => self.closed(attempt, marked),
-            Event::Config(config) => self.adopt(config),
+            Event::Claimed { request, outcome } => self.handle_claim_outcome(request, outcome),
+            Event::StreamEnded { attempt, marked } => self.handle_stream_end(attempt, marked),
+            Event::Config(config) => self.apply_config(config),
             Event::CrashReported(account) => self.crashed(&account),
             Event::LeavingReported(life) => self.departing(life),
             Event::DemandReported { demand, from } => self.demanded(from, &demand),
-            Event::Failed { attempt, failure } => self.failed(attempt, failure),
+            Event::Failed { attempt, failure } => self.handle_failure(attempt, failure),
             Event::GenerationFinished {
                 attempt,
                 position,
                 reason,
-            } => self.finished(attempt, position, reason),
+            } => self.handle_finished(attempt, position, reason),
             Event::Instances(view) => self.see_members(view),
             Event::Leaving(name) => self.hint_leaving(&name),
             Event::List {
@@ -168,28 +168,28 @@
                 notice,
                 upstream,
             } => self.noticed(upstream, attempt, &notice),
-            Event::StreamOpened(attempt) => self.opened(attempt),
-            Event::PaceReported(pace) => self.paced(&pace),
+            Event::StreamOpened(attempt) => self.handle_stream_opened(attempt),
+            Event::PaceReported(pace) => self.record_peer_pace(&pace),
             Event::StreamEvent {
                 attempt,
                 bytes,
                 position,
-            } => self.passed(attempt, position, bytes),
+            } => self.handle_stream_event(attempt, position, bytes),
             Event::Probed { upstream, alive } => self.probed(upstream, alive),
-            Event::StreamsRestored => self.recalled(),
+            Event::StreamsRestored => self.streams_restored(),
             Event::Replied {
                 attempt,
                 body,
                 status,
-            } => self.replied(attempt, status, body),
-            Event::StreamReported(sighting) => self.sighted(sighting),
+            } => self.handle_reply(attempt, status, body),
+            Event::StreamReported(sighting) => self.record_peer_stream(sighting),
             Event::Submit(submission) => self.submit(*submission),
             Event::Tick => self.tick(),
             Event::Tokens {
                 attempt,
                 tokens: pieces,
                 position,
-            } => self.tokens(attempt, position, pieces),
+            } => self.handle_tokens(attempt, position, pieces),
         }
         std::mem::take(&mut self.effects)
     }
@@ -202,20 +202,20 @@
             callers: HashMap::new(),
             config: None,
             data_centre: Arc::from(""),
-            early: Vec::new(),
+            deferred: Vec::new(),
             effects: Vec::new(),
-            hedges: Budget::new(BUDGET, BUDGET_REFILL, now),
-            held: 0,
+            hedge_budget: Budget::new(BUDGET, BUDGET_REFILL, now),
+            held_bytes: 0,
             seed,
             instances: 1,
             list_read_at: None,
             lives: BTreeMap::new(),
             members: Members::default(),
             now,
-            patiences: HashMap::new(),
+            longest_timeouts: HashMap::new(),
             pools: BTreeMap::new(),
-            recalled: true,
-            reclaims: Vec::new(),
+            streams_restored: true,
+            claim_retries: Vec::new(),
             requests: SlotMap::with_key(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             rotation: 0,
@@ -248,11 +248,11 @@
     /// these are all.
     #[must_use]
     pub fn restoring_streams(mut self) -> Self {
-        self.recalled = false;
+        self.streams_restored = false;
         self
     }
 
-    fn adopt(&mut self, config: Arc<Config>) {
+    fn apply_config(&mut self, config: Arc<Config>) {
         let current = self.revision().unwrap_or(0);
         if config.revision > current || self.config.is_none() {
             self.config = Some(config);
@@ -260,11 +260,11 @@
             self.submit_deferred();
         }
         let after = self.revision().unwrap_or(0);
-        self.check(after >= current, Invariant::NeverReverts);
+        self.check_invariant(after >= current, Invariant::NeverReverts);
     }
 
     /// Whether `holds`; a broken invariant is counted, and panics in builds with debug assertions.
-    pub(crate) fn check(&mut self, holds: bool, invariant: Invariant) -> bool {
+    pub(crate) fn check_invariant(&mut self, holds: bool, invariant: Invariant) -> bool {
         if !holds {
             self.count(Counter::Invariant(invariant));
             debug_assert!(holds, "invariant broken: {invariant}");
@@ -276,17 +276,17 @@
         self.effects.push(Effect::Count(counter, 1));
     }
 
-    pub(crate) fn note(
+    pub(crate) fn log_step(
         &mut self,
         request: &Request,
         step: effect::Step,
         upstream: Option<upstream::Key>,
     ) {
-        let note = self.noted(request, step, upstream);
+        let note = self.step_record(request, step, upstream);
         self.effects.push(note);
     }
 
-    pub(crate) fn noted(
+    pub(crate) fn step_record(
         &self,
         request: &Request,
         step: effect::Step,
@@ -309,8 +309,8 @@
     pub(crate) fn remove(&mut self, key: request::Key) -> Option<Request> {
         let request = self.requests.remove(key)?;
         let unanswered = self.callers.remove(&request.caller) == Some(key);
-        self.check(unanswered, Invariant::AnsweredTwice);
-        self.held -= request.held;
+        self.check_invariant(unanswered, Invariant::AnsweredTwice);
+        self.held_bytes -= request.held_bytes;
         let customer = &request.customer.name;
         if let Some(running) = self.running.get_mut(customer) {
             *running -= 1;
@@ -323,12 +323,12 @@
                 pool.queue
                     .remove(request.service.priority, &request.customer, key);
             }
-            if request.counted {
+            if request.counts_as_running {
                 pool.queue.ended(&request.customer);
             }
             if let Some(sent) = request.sent {
                 let duration = self.now.since(sent) as f64;
-                pool.duration += DURATION_GAIN * (duration - pool.duration);
+                pool.mean_duration_ms += DURATION_GAIN * (duration - pool.mean_duration_ms);
             }
         }
         Some(request)
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -42,7 +42,7 @@
         request.send_by = until;
         let pool: Arc<str> = request.service.pool().into();
         self.pools.entry(pool).or_default().gauge.short(self.now);
-        self.tell_waiting(key);
+        self.announce_waiting(key);
     }
 
     /// Sends what waits in a pool, as far as upstreams have room.
@@ -64,14 +64,14 @@
             };
             if let Some(pool) = self.pools.get_mut(name) {
                 pool.queue.pop(self.now);
-                self.requests[key].counted |= !waiting.resume;
+                self.requests[key].counts_as_running |= !waiting.resume;
             }
-            self.start(key, upstream);
+            self.start_attempt(key, upstream);
         }
     }
 
     /// Settles a claim.
-    pub(crate) fn claimed(&mut self, key: request::Key, outcome: event::ClaimOutcome) {
+    pub(crate) fn handle_claim_outcome(&mut self, key: request::Key, outcome: event::ClaimOutcome) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -82,14 +82,14 @@
         match outcome {
             event::ClaimOutcome::Claimed => {
                 request.claim = None;
-                if self.claim_holds(key, &claim) {
+                if self.is_claim_valid(key, &claim) {
                     self.send_claimed(key);
                 } else {
                     self.give_up(key, Kind::BadKey, Kind::Unknown);
                 }
             }
             event::ClaimOutcome::Taken(upstream) if request.may_have_run => {
-                self.follow(key, upstream);
+                self.follow_peer(key, upstream);
             }
             event::ClaimOutcome::Taken(fingerprint) if fingerprint == claim.fingerprint => {
                 self.fail(key, Kind::AlreadyClaimed);
@@ -97,7 +97,7 @@
             event::ClaimOutcome::Taken(_) => self.fail(key, Kind::KeyReused),
             event::ClaimOutcome::Unavailable if request.may_have_run => {
                 let again = self.now.after(self.settings.claim_retry_ms);
-                self.reclaims.push((again, key));
+                self.claim_retries.push((again, key));
             }
             event::ClaimOutcome::Unavailable => self.fail(key, Kind::PlatformDown),
         }
@@ -105,19 +105,19 @@
 
     /// Whether a claim that was just settled is surely still kept: a caller's key is not too old, and
     /// a continuation's claim was asked for less than the retention ago.
-    fn claim_holds(&self, key: request::Key, claim: &Claim) -> bool {
+    fn is_claim_valid(&self, key: request::Key, claim: &Claim) -> bool {
         let request = &self.requests[key];
         if !request.may_have_run {
             return claim.in_time(self.now, &self.settings);
         }
-        self.now.since(request.claim_asked) <= self.settings.key_age_max_ms
+        self.now.since(request.claim_requested_at) <= self.settings.key_age_max_ms
     }
 
     /// Asks once more for the claims of continuations that the platform did not settle.
     pub(crate) fn retry_claims(&mut self) {
         let now = self.now;
         let due: Vec<request::Key> = self
-            .reclaims
+            .claim_retries
             .extract_if(.., |(again, _)| *again <= now)
             .map(|(_, key)| key)
             .collect();
@@ -145,19 +145,19 @@
         let Some(upstream) = self.choose(key, true) else {
             return;
         };
-        self.hedges
+        self.hedge_budget
             .share(self.instances, self.settings.shared.least);
-        if !self.hedges.spend(self.now) {
+        if !self.hedge_budget.spend(self.now) {
             return;
         }
         self.count(Counter::Hedged);
-        let attempt = self.open(key, upstream);
-        self.send(attempt);
+        let attempt = self.open_attempt(key, upstream);
+        self.send_attempt(attempt);
     }
 
     /// Re-attaches a request that came with a cursor; false if there is none.
     fn attach(&mut self, key: request::Key) -> bool {
-        let Some(cursor) = self.requests[key].attach.take() else {
+        let Some(cursor) = self.requests[key].resume_cursor.take() else {
             return false;
         };
         self.count(Counter::Resumed(counter::Reason::Caller));
@@ -182,9 +182,9 @@
         request.number = number - 1;
         let position = request.position();
         let generation = request.generation;
-        let attempt = self.open(key, upstream);
+        let attempt = self.open_attempt(key, upstream);
         self.attempts[attempt].sent = true;
-        let note = self.noted(&self.requests[key], effect::Step::Attached, Some(upstream));
+        let note = self.step_record(&self.requests[key], effect::Step::Attached, Some(upstream));
         self.effects.push(note);
         self.effects.push(Effect::Send {
             address: self.upstreams[upstream].address,
@@ -200,21 +200,21 @@
 
     /// Follows a continuation that another instance claimed: its stream is read on from here. It
     /// is never started a second time.
-    fn follow(&mut self, key: request::Key, upstream: u64) {
+    fn follow_peer(&mut self, key: request::Key, upstream: u64) {
         let request = &mut self.requests[key];
         request.claim = None;
         let number = request.number;
         for attempt in request.attempts.clone() {
-            self.close(attempt);
+            self.remove_attempt(attempt);
         }
-        self.requests[key].following = true;
+        self.requests[key].follows_peer = true;
         if !self.attach_to(key, upstream, number) {
             self.fail(key, Kind::Unknown);
         }
     }
 
     /// Makes an attempt at an upstream, not yet sent.
-    fn open(&mut self, key: request::Key, upstream: upstream::Key) -> attempt::Key {
+    fn open_attempt(&mut self, key: request::Key, upstream: upstream::Key) -> attempt::Key {
         let request = &mut self.requests[key];
         request.number += 1;
         let attempt = self.attempts.insert(Attempt {
@@ -242,7 +242,7 @@
     }
 
     /// Gives an attempt to the edge. The last check before a request may run.
-    fn send(&mut self, key: attempt::Key) {
+    fn send_attempt(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
         let upstream_key = attempt.upstream;
@@ -257,29 +257,29 @@
         let rests = upstream.rests(self.now);
         let (number, owner) = (attempt.number, attempt.request);
         let outbound = match request.work {
-            Work::Relay(_) => self.relaying(key),
+            Work::Relay(_) => self.relay_outbound(key),
             Work::Call { .. } | Work::Generate { .. } => request.outbound(number, &self.settings),
         };
         let guilty = self.is_guilty(request.print);
         let permitted = self.upstreams[upstream_key].spend(self.now);
-        self.check(permitted, Invariant::NoWorkBeyondLimit);
-        self.check(!leaves, Invariant::NoWorkWhenLeaving);
-        self.check(!rests, Invariant::NoWorkWhenResting);
-        if !self.check(!guilty, Invariant::NoQuarantinedWork) {
+        self.check_invariant(permitted, Invariant::NoWorkBeyondLimit);
+        self.check_invariant(!leaves, Invariant::NoWorkWhenLeaving);
+        self.check_invariant(!rests, Invariant::NoWorkWhenResting);
+        if !self.check_invariant(!guilty, Invariant::NoQuarantinedWork) {
             self.refuse_guilty(owner);
             return;
         }
-        if !self.check(once, Invariant::RunsOnce) {
+        if !self.check_invariant(once, Invariant::RunsOnce) {
             self.fail(owner, Kind::Unknown);
             return;
         }
         self.attempts[key].sent = true;
         self.attempts[key].last_event_at = self.now;
         self.requests[owner].sent.get_or_insert(self.now);
-        self.requests[owner].progress.reached += 1;
+        self.requests[owner].progress.upstreams_reached += 1;
         let upstream = self.attempts[key].upstream;
-        let what = self.sent(key);
-        let note = self.noted(&self.requests[owner], what, Some(upstream));
+        let what = self.sent_step(key);
+        let note = self.step_record(&self.requests[owner], what, Some(upstream));
         self.effects.push(note);
         self.effects.push(Effect::Send {
             address,
@@ -290,7 +290,7 @@
     }
 
     /// What is noted of an attempt that is sent.
-    fn sent(&self, key: attempt::Key) -> effect::Step {
+    fn sent_step(&self, key: attempt::Key) -> effect::Step {
         let attempt = &self.attempts[key];
         let backup = attempt.backup.and_then(|key| self.upstreams.get(key));
         effect::Step::Sent {
@@ -311,17 +311,17 @@
         };
         let upstream = &self.upstreams[self.attempts[attempt].upstream];
         if upstream.takes_work(self.now) && self.now >= self.list_stale_until {
-            self.send(attempt);
+            self.send_attempt(attempt);
             return;
         }
-        self.close(attempt);
+        self.remove_attempt(attempt);
         self.enqueue(key);
     }
 
     /// Starts an attempt: at once, or after the claim that it needs.
-    fn start(&mut self, key: request::Key, upstream: upstream::Key) {
+    fn start_attempt(&mut self, key: request::Key, upstream: upstream::Key) {
         let nonce = self.rng.random();
-        let attempt = self.open(key, upstream);
+        let attempt = self.open_attempt(key, upstream);
         let request = &mut self.requests[key];
         let relayed = request.work.relay().is_some();
         let continues = request.may_have_run && !request.service.repeatable && !relayed;
@@ -330,7 +330,7 @@
             request.claim = Claim::continuation(request.generation, request.number, id, nonce);
         }
         if let Some(claim) = request.claim {
-            request.claim_asked = self.now;
+            request.claim_requested_at = self.now;
             request.state = State::Claiming;
             self.effects.push(Effect::Claim {
                 claim,
@@ -340,9 +340,9 @@
         }
         request.state = State::Running;
         if relayed {
-            self.plan(attempt);
+            self.prepare_relay(attempt);
         }
-        self.send(attempt);
+        self.send_attempt(attempt);
     }
 }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -32,7 +32,7 @@
 
 impl Failure {
     /// Whether the upstream surely did not run the request.
-    pub fn not_run(self) -> bool {
+    pub fn was_not_executed(self) -> bool {
         match self {
             Self::Broken | Self::UnknownStream => false,
             Self::Leaving | Self::NotSent | Self::Refused | Self::Rejected | Self::Replaced => true,
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -4,8 +4,8 @@
 
 impl Core {
     /// An attempt ended without a whole answer.
-    pub(crate) fn failed(&mut self, key: attempt::Key, failure: Failure) {
-        let Some(attempt) = self.close(key) else {
+    pub(crate) fn handle_failure(&mut self, key: attempt::Key, failure: Failure) {
+        let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
             return;
         };
@@ -54,8 +54,8 @@
         request.avoided_upstream = Some(attempt.upstream);
         request.may_have_run |= attempt.sent;
         if request.work.relay().is_some() {
-            self.keep_copy(&attempt);
-            self.note_lost(&attempt, reason);
+            self.remember_copy(&attempt);
+            self.log_lost(&attempt, reason);
             self.retry_relay(attempt.request, reason);
             return;
         }
@@ -64,7 +64,7 @@
 
     /// Stops an attempt and tells the engine.
     pub(crate) fn cancel(&mut self, key: attempt::Key) -> Option<Attempt> {
-        let attempt = self.close(key)?;
+        let attempt = self.remove_attempt(key)?;
         if attempt.sent {
             let request = &self.requests[attempt.request];
             let stream = matches!(request.work, Work::Generate { .. }).then_some(effect::Stream {
@@ -81,7 +81,7 @@
     }
 
     /// Takes an attempt out of the state.
-    pub(crate) fn close(&mut self, key: attempt::Key) -> Option<Attempt> {
+    pub(crate) fn remove_attempt(&mut self, key: attempt::Key) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(request) = self.requests.get_mut(attempt.request) {
             request.attempts.retain(|other| *other != key);
@@ -98,9 +98,9 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let touched = self.touched(request);
+        let touched = self.may_have_executed(request);
         let not_run = kind.answer().ran == kind::Ran::No;
-        let honest = self.check(!(not_run && touched), Invariant::NotRunIsTrue);
+        let honest = self.check_invariant(!(not_run && touched), Invariant::NotRunIsTrue);
         let kind = if honest { kind } else { Kind::Unknown };
         for attempt in self.requests[key].attempts.clone() {
             self.cancel(attempt);
@@ -108,16 +108,16 @@
         let Some(request) = self.remove(key) else {
             return;
         };
-        self.note(&request, effect::Step::Failed(kind), None);
-        self.tell_over(&request, sighting::Stage::Left);
+        self.log_step(&request, effect::Step::Failed(kind), None);
+        self.announce_over(&request, sighting::Stage::Left);
         let pool = request.service.pool();
-        if request.progress.opened {
+        if request.progress.is_open {
             self.count(Counter::Refused(kind));
             self.effects.push(Effect::AbortStream(request.caller));
             self.dispatch_queued(pool);
             return;
         }
-        if request.progress.fault {
+        if request.progress.has_held_error {
             self.effects.push(Effect::ForwardResponse(request.caller));
             self.dispatch_queued(pool);
             return;
@@ -140,7 +140,7 @@
 
     /// Gives up on a request: `unsent` if no upstream can have run it, else `sent`.
     pub(crate) fn give_up(&mut self, key: request::Key, unsent: Kind, sent: Kind) {
-        let touched = self.touched(&self.requests[key]);
+        let touched = self.may_have_executed(&self.requests[key]);
         self.fail(key, if touched { sent } else { unsent });
     }
 
@@ -154,7 +154,7 @@
             self.refuse_guilty(key);
             return;
         }
-        if request.following && reason == counter::Reason::Caller {
+        if request.follows_peer && reason == counter::Reason::Caller {
             // The other instance claimed the continuation but its stream is not there.
             self.fail(key, Kind::Unknown);
             return;
@@ -197,13 +197,13 @@
         let Some(pool) = self.pools.get_mut(pool) else {
             return false;
         };
-        pool.retries
+        pool.retry_budget
             .share(self.instances, self.settings.shared.least);
-        pool.retries.spend(self.now)
+        pool.retry_budget.spend(self.now)
     }
 
     /// Whether an upstream may have run any of a request.
-    fn touched(&self, request: &Request) -> bool {
+    fn may_have_executed(&self, request: &Request) -> bool {
         let sent = |key: &attempt::Key| self.attempts[*key].sent;
         request.may_have_run || request.attempts.iter().any(sent)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -56,7 +56,7 @@
 mod window;
 
 use {
-    crate::core::{Core, Early},
+    crate::core::{Core, DeferredRequest},
     absence::{Absence, Span},
     attempt::Attempt,
     bound::Bound,
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -15,8 +15,8 @@
 
 impl Core {
     /// An upstream answered a relayed request in one piece.
-    pub(crate) fn answered(&mut self, key: attempt::Key, verdict: event::Verdict) {
-        let Some(attempt) = self.close(key) else {
+    pub(crate) fn handle_response(&mut self, key: attempt::Key, verdict: event::Verdict) {
+        let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
             return;
         };
@@ -27,15 +27,16 @@
             let request = &mut self.requests[owner];
             request.may_have_run = true;
             request.avoided_upstream = Some(attempt.upstream);
-            if self.may_go_on(owner) && self.may_repeat_fault(owner) {
-                self.requests[owner].progress.fault = !self.requests[owner].progress.opened;
-                self.keep_copy(&attempt);
-                self.note_lost(&attempt, counter::Reason::Fault);
+            if self.may_continue(owner) && self.may_retry_error(owner) {
+                self.requests[owner].progress.has_held_error =
+                    !self.requests[owner].progress.is_open;
+                self.remember_copy(&attempt);
+                self.log_lost(&attempt, counter::Reason::Fault);
                 self.retry_relay(owner, counter::Reason::Fault);
                 return;
             }
         }
-        if self.requests[owner].progress.opened {
+        if self.requests[owner].progress.is_open {
             self.fail(owner, Kind::UpstreamFailed);
             return;
         }
@@ -44,7 +45,7 @@
 
     /// Whether a request that an upstream failed is sent on. What fails by itself fails everywhere, and while a service is nearly
     /// full its second sending takes the place of a call that could be in time.
-    fn may_repeat_fault(&self, key: request::Key) -> bool {
+    fn may_retry_error(&self, key: request::Key) -> bool {
         let request = &self.requests[key];
         let crowds = !request.service.streams() && self.is_full(request.service.pool());
         request.service.repeatable && (self.settings.calls.second || !crowds)
@@ -52,22 +53,22 @@
 
     /// A relayed stream ended without an error. An end that is not marked is believed when a second
     /// upstream, asked to go on behind the last event, has nothing more either.
-    pub(crate) fn closed(&mut self, key: attempt::Key, marked: bool) {
-        let Some(attempt) = self.close(key) else {
+    pub(crate) fn handle_stream_end(&mut self, key: attempt::Key, marked: bool) {
+        let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
             return;
         };
         let owner = attempt.request;
         let progress = &mut self.requests[owner].progress;
-        if !progress.opened {
+        if !progress.is_open {
             self.fail(owner, Kind::UpstreamFailed);
             return;
         }
         let ended_before = progress.unmarked_end.replace(progress.position);
         let believed = marked || ended_before == Some(progress.position);
-        if !believed && self.may_go_on(owner) {
-            self.keep_copy(&attempt);
-            self.note_lost(&attempt, counter::Reason::Unmarked);
+        if !believed && self.may_continue(owner) {
+            self.remember_copy(&attempt);
+            self.log_lost(&attempt, counter::Reason::Unmarked);
             self.suspect(&attempt);
             self.go_on_checked(owner, attempt.upstream, counter::Reason::Unmarked);
             return;
@@ -76,7 +77,7 @@
     }
 
     /// A relayed stream began. Only the first head of an answer goes to the caller.
-    pub(crate) fn opened(&mut self, key: attempt::Key) {
+    pub(crate) fn handle_stream_opened(&mut self, key: attempt::Key) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
@@ -84,28 +85,33 @@
         let owner = attempt.request;
         self.upstreams[attempt.upstream].hear(self.now);
         let request = &mut self.requests[owner];
-        if !request.progress.opened {
-            request.progress.opened = true;
+        if !request.progress.is_open {
+            request.progress.is_open = true;
             self.effects.push(Effect::ForwardHead(request.caller));
         }
     }
 
     /// One event of a relayed stream came. It goes to the caller if it is the next one.
-    pub(crate) fn passed(&mut self, key: attempt::Key, position: u64, bytes: Arc<[u8]>) {
+    pub(crate) fn handle_stream_event(
+        &mut self,
+        key: attempt::Key,
+        position: u64,
+        bytes: Arc<[u8]>,
+    ) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
         };
         let (owner, first) = (attempt.request, !attempt.started);
-        self.heard(key);
+        self.record_activity(key);
         if first {
-            self.learn_reading(key);
-            self.tell(key, sighting::Stage::Streaming);
+            self.record_prefill(key);
+            self.announce_attempt(key, sighting::Stage::Streaming);
         }
         let request = &mut self.requests[owner];
         let current = request.attempts == [key];
         let next = request.progress.position + 1;
-        if !self.check(current, Invariant::SameGeneration) {
+        if !self.check_invariant(current, Invariant::SameGeneration) {
             self.fail(owner, Kind::Internal);
             return;
         }
@@ -118,7 +124,7 @@
             self.abandon(key, counter::Reason::Gap);
             return;
         }
-        self.time_event(owner);
+        self.record_event_delay(owner);
         let request = &mut self.requests[owner];
         request.progress.position = position;
         let caller = request.caller;
@@ -126,14 +132,17 @@
     }
 
     /// Notes how long a caller waited for an event.
-    fn time_event(&mut self, key: request::Key) {
+    fn record_event_delay(&mut self, key: request::Key) {
         let request = &mut self.requests[key];
-        let timed = match (request.progress.lost_at.take(), request.progress.event_at) {
+        let timed = match (
+            request.progress.lost_at.take(),
+            request.progress.last_event_at,
+        ) {
             (Some(lost), Some(_)) => (Timing::Resume, lost),
             (None, Some(last)) => (Timing::Pause, last),
             (_, None) => (Timing::FirstEvent, request.arrived_at),
         };
-        request.progress.event_at = Some(self.now);
+        request.progress.last_event_at = Some(self.now);
         let (timing, since) = timed;
         if timing == Timing::Pause
             && let Some(pool) = self.pools.get_mut(request.service.pool())
@@ -145,7 +154,7 @@
     }
 
     /// Learns how fast prompts are read from the first event of a stream that did not go on from a copy.
-    fn learn_reading(&mut self, key: attempt::Key) {
+    fn record_prefill(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
         let fresh = attempt.copy.is_none() && request.progress.position == 0;
@@ -161,13 +170,13 @@
     }
 
     /// Another instance told how fast the engines of a pool work.
-    pub(crate) fn paced(&mut self, pace: &Pace) {
+    pub(crate) fn record_peer_pace(&mut self, pace: &Pace) {
         let pool = self.pools.entry(pace.pool.clone()).or_default();
         pool.gauge.hear(pace);
     }
 
     /// Another instance told of a stream.
-    pub(crate) fn sighted(&mut self, sighting: Sighting) {
+    pub(crate) fn record_peer_stream(&mut self, sighting: Sighting) {
         let starts = sighting.stage == sighting::Stage::Started;
         let upstream = sighting.upstream;
         let upstream = upstream.and_then(|life| self.lives.get(&life).copied());
@@ -188,7 +197,7 @@
 
     /// Where a relayed request begins: behind the events that its caller has, and from the copied
     /// memory of the stream that another instance told of, if the caller had it there.
-    pub(crate) fn progress(&self, relay: &request::Relay) -> request::RelayProgress {
+    pub(crate) fn initial_progress(&self, relay: &request::Relay) -> request::RelayProgress {
         let mut progress = request::RelayProgress {
             position: relay.position,
             ..request::RelayProgress::default()
@@ -199,7 +208,7 @@
         if let Some(sighting) = self.sightings.get(relay.prompt) {
             let find = |life: Option<Life>| self.lives.get(&life?).copied();
             progress.preferred_upstream = find(sighting.upstream);
-            progress.copy = find(sighting.backup).map(|upstream| request::Copy {
+            progress.copy = find(sighting.backup).map(|upstream| request::KvCopy {
                 run: sighting.run.as_str().into(),
                 upstream,
             });
@@ -218,15 +227,15 @@
 
     /// Remembers where the memory of a lost attempt was copied to. Copies begin with the first event:
     /// of 18 streams that were lost before it none had one.
-    pub(crate) fn keep_copy(&mut self, attempt: &Attempt) {
+    pub(crate) fn remember_copy(&mut self, attempt: &Attempt) {
         let request = &mut self.requests[attempt.request];
         let run = request.work.relay().map(|relay| relay.run.clone());
         let copy = attempt.backup.zip(run).filter(|_| attempt.started);
-        request.progress.copy = copy.map(|(upstream, run)| request::Copy { run, upstream });
+        request.progress.copy = copy.map(|(upstream, run)| request::KvCopy { run, upstream });
     }
 
     /// Chooses where a copy of a stream's memory is kept while it runs, and tells other instances.
-    pub(crate) fn plan(&mut self, key: attempt::Key) {
+    pub(crate) fn prepare_relay(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let (owner, upstream) = (attempt.request, attempt.upstream);
         let copy = self.requests[owner].progress.copy.take();
@@ -241,7 +250,7 @@
         attempt.ahead_tokens = ahead_tokens;
         attempt.copy = copy.filter(|copy| copy.upstream == upstream);
         attempt.backup = backup;
-        self.tell(key, sighting::Stage::Started);
+        self.announce_attempt(key, sighting::Stage::Started);
     }
 
     /// A relayed attempt ended without an answer.
@@ -253,8 +262,8 @@
         let reason = match failure {
             Failure::Broken | Failure::UnknownStream => {
                 request.may_have_run = true;
-                self.keep_copy(attempt);
-                self.blame(upstream);
+                self.remember_copy(attempt);
+                self.report_loss(upstream);
                 counter::Reason::Broken
             }
             Failure::Leaving => {
@@ -262,7 +271,7 @@
                 counter::Reason::Leaving
             }
             Failure::NotSent => {
-                self.blame(upstream);
+                self.report_loss(upstream);
                 counter::Reason::NotSent
             }
             Failure::Refused | Failure::Rejected => {
@@ -275,15 +284,15 @@
                 counter::Reason::Refused
             }
             Failure::Replaced => {
-                self.blame(upstream);
+                self.report_loss(upstream);
                 counter::Reason::Replaced
             }
         };
         self.called(attempt, false);
-        self.note_lost(attempt, reason);
-        if failure.not_run() {
+        self.log_lost(attempt, reason);
+        if failure.was_not_executed() {
             let progress = &mut self.requests[owner].progress;
-            progress.reached = progress.reached.saturating_sub(1);
+            progress.upstreams_reached = progress.upstreams_reached.saturating_sub(1);
         }
         // What follows from an end may be that this request is given up.
         match failure {
@@ -300,7 +309,7 @@
             self.refuse_guilty(key);
             return;
         }
-        if !self.may_go_on(key) {
+        if !self.may_continue(key) {
             self.give_up(key, Kind::Overloaded, Kind::UpstreamFailed);
             return;
         }
@@ -319,21 +328,21 @@
     }
 
     /// Whether another upstream may be sent a relayed request.
-    fn may_go_on(&self, key: request::Key) -> bool {
+    fn may_continue(&self, key: request::Key) -> bool {
         let request = &self.requests[key];
         let Some(relay) = request.service.relay() else {
             return false;
         };
         let repeatable = request.service.repeatable || !request.may_have_run;
         let resumes = relay.resumable && self.settings.relay_resume != Resume::None;
-        let whole = !request.progress.opened || resumes;
-        let reached = request.progress.reached < relay.attempts_max.max(1);
+        let whole = !request.progress.is_open || resumes;
+        let reached = request.progress.upstreams_reached < relay.attempts_max.max(1);
         let sent = request.number < self.settings.attempts_max;
         repeatable && whole && reached && sent && self.now < request.deadline
     }
 
     /// What is sent for a relayed attempt.
-    pub(crate) fn relaying(&self, key: attempt::Key) -> effect::Outbound {
+    pub(crate) fn relay_outbound(&self, key: attempt::Key) -> effect::Outbound {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
         let customer = request.customer.name.as_str();
@@ -353,10 +362,10 @@
     }
 
     /// Notes that an attempt ended without a whole answer.
-    pub(crate) fn note_lost(&mut self, attempt: &Attempt, reason: counter::Reason) {
+    pub(crate) fn log_lost(&mut self, attempt: &Attempt, reason: counter::Reason) {
         let request = &self.requests[attempt.request];
         let what = effect::Step::Lost(reason);
-        let note = self.noted(request, what, Some(attempt.upstream));
+        let note = self.step_record(request, what, Some(attempt.upstream));
         self.effects.push(note);
     }
 
@@ -375,16 +384,16 @@
             };
             let doubted = self.upstreams[key].health == Health::Suspected && silent;
             let lost = if relay.streams {
-                relay.resumable && silence > self.patience(attempt, relay, doubted)
+                relay.resumable && silence > self.stall_timeout_ms(attempt, relay, doubted)
             } else {
-                let spare = request.progress.reached < relay.attempts_max;
+                let spare = request.progress.upstreams_reached < relay.attempts_max;
                 request.service.repeatable && spare && silence > self.settings.relay_call_ms
             };
             // A prompt that is only read slowly would be read no sooner where there is no room.
             let slow = relay.streams && !attempt.started && attempt.copy.is_none() && !doubted;
             if lost && !(slow && self.lacks_room(request)) {
                 if silent {
-                    self.blame(key);
+                    self.report_loss(key);
                 } else {
                     self.upstreams[key].trouble.add(self.now);
                 }
@@ -395,7 +404,7 @@
 
     /// Silence in milliseconds after which a stream has lost its upstream. Before its first event it
     /// waits for its prompt to be read, unless the upstream is `doubted` with all its streams.
-    fn patience(&self, attempt: &Attempt, relay: &config::Relay, doubted: bool) -> u64 {
+    fn stall_timeout_ms(&self, attempt: &Attempt, relay: &config::Relay, doubted: bool) -> u64 {
         if attempt.started {
             let request = &self.requests[attempt.request];
             let pool = self.pools.get(request.service.pool());
@@ -411,7 +420,7 @@
     }
 
     /// An upstream was lost: it is doubted here, and other instances are told.
-    fn blame(&mut self, key: upstream::Key) {
+    fn report_loss(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         upstream.trouble.add(self.now);
         self.effects.push(Effect::AnnounceLost(upstream.life));
@@ -419,43 +428,43 @@
     }
 
     /// Another instance lost an upstream. That may be its own link, so it is only one failure.
-    pub(crate) fn blamed(&mut self, life: Life) {
+    pub(crate) fn record_peer_loss(&mut self, life: Life) {
         if let Some(key) = self.lives.get(&life) {
             self.upstreams[*key].trouble.add(self.now);
         }
     }
 
     /// Tells other instances of a stream that is being sent or has begun.
-    fn tell(&mut self, key: attempt::Key, stage: sighting::Stage) {
+    fn announce_attempt(&mut self, key: attempt::Key, stage: sighting::Stage) {
         let attempt = &self.attempts[key];
         let life = |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.life);
         let backup = attempt.backup.and_then(life);
         let upstream = life(attempt.upstream);
         if let Some(relay) = self.requests[attempt.request].work.relay() {
             let sighting = relay.sighting(stage, upstream, backup);
-            self.tell_all(sighting);
+            self.announce(sighting);
         }
     }
 
     /// Tells other instances that a stream waits for room.
-    pub(crate) fn tell_waiting(&mut self, key: request::Key) {
+    pub(crate) fn announce_waiting(&mut self, key: request::Key) {
         let request = &self.requests[key];
         if let Some(relay) = request.work.relay() {
             let mut sighting = relay.sighting(sighting::Stage::Waiting, None, None);
             sighting.pool = request.service.pool().into();
-            self.tell_all(sighting);
+            self.announce(sighting);
         }
     }
 
     /// Tells other instances that a stream is over, or left by its caller.
-    pub(crate) fn tell_over(&mut self, request: &Request, stage: sighting::Stage) {
+    pub(crate) fn announce_over(&mut self, request: &Request, stage: sighting::Stage) {
         if let Some(relay) = request.work.relay() {
             let sighting = relay.sighting(stage, None, None);
-            self.tell_all(sighting);
+            self.announce(sighting);
         }
     }
 
-    fn tell_all(&mut self, sighting: Sighting) {
+    fn announce(&mut self, sighting: Sighting) {
         if sighting.prompt == 0 {
             return;
         }
@@ -479,7 +488,7 @@
         };
         self.count(Counter::Answered);
         self.acquit(request.print);
-        if !request.progress.opened {
+        if !request.progress.is_open {
             let wait = self.now.since(request.arrived_at);
             self.effects
                 .push(Effect::RecordDuration(Timing::Answer, wait));
@@ -490,8 +499,8 @@
             pool.gauge
                 .answered(request.progress.position, relay.max_answer_tokens);
         }
-        self.note(&request, effect::Step::Answered, Some(upstream));
-        self.tell_over(&request, sighting::Stage::Ended);
+        self.log_step(&request, effect::Step::Answered, Some(upstream));
+        self.announce_over(&request, sighting::Stage::Ended);
         self.effects.push(last(request.caller));
         self.dispatch_queued(request.service.pool());
     }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -81,15 +81,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct RelayProgress {
     /// Where a copy of the run's memory is kept, and under which name.
-    pub copy: Option<Copy>,
+    pub copy: Option<KvCopy>,
     /// When the caller was given its last event; `None` before the first.
-    pub event_at: Option<Time>,
+    pub last_event_at: Option<Time>,
     /// Whether the edge holds a failed answer of an upstream, to be given if nothing better comes.
-    pub fault: bool,
+    pub has_held_error: bool,
     /// When the stream was lost, until it goes on.
     pub lost_at: Option<Time>,
     /// Whether the caller has the head of an answer.
-    pub opened: bool,
+    pub is_open: bool,
     /// Position of the last event that the caller has.
     pub position: u64,
     /// Upstream that ran the stream at another instance, and may keep its prompt.
@@ -97,12 +97,12 @@
     /// Position at which a stream ended without a mark that it is whole.
     pub unmarked_end: Option<u64>,
     /// Upstreams that the request reached.
-    pub reached: u32,
+    pub upstreams_reached: u32,
 }
 
 /// A copy of a running stream's memory, from which another upstream than its own can go on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Copy {
+pub struct KvCopy {
     /// Name of the run that was copied.
     pub run: Arc<str>,
     /// Upstream that holds the copy.
@@ -175,9 +175,9 @@
     /// Claim needed before it is sent, if any.
     pub claim: Option<Claim>,
     /// When its claim was first asked for.
-    pub claim_asked: Time,
+    pub claim_requested_at: Time,
     /// Whether the queue counts it as running.
-    pub counted: bool,
+    pub counts_as_running: bool,
     /// Customer.
     pub customer: Arc<config::Customer>,
     /// Time by which it must be answered.
@@ -189,13 +189,13 @@
     /// Digest of the request's body and service, which binds cursors and claims.
     pub fingerprint: u64,
     /// Whether it reads a continuation that another instance claimed.
-    pub following: bool,
+    pub follows_peer: bool,
     /// Bytes counted against the limit of held memory: payload and the longest answer.
-    pub held: u64,
+    pub held_bytes: u64,
     /// Identity of the generation.
     pub generation: u128,
     /// The cursor to re-attach with, until that was tried.
-    pub attach: Option<Cursor>,
+    pub resume_cursor: Option<Cursor>,
     /// Whether an upstream may have run it.
     pub may_have_run: bool,
     /// Number of the last attempt.
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -5,8 +5,9 @@
 impl Core {
     /// The caller's connection is closed. A stream that has begun is left to the engine for a
     /// while, since its caller may come back with a cursor.
-    pub(crate) fn caller_gone(&mut self, caller: request::Caller) {
-        self.early.retain(|early| early.submission.caller != caller);
+    pub(crate) fn handle_caller_gone(&mut self, caller: request::Caller) {
+        self.deferred
+            .retain(|deferred| deferred.submission.caller != caller);
         let Some(key) = self.callers.get(&caller).copied() else {
             return;
         };
@@ -15,21 +16,21 @@
         let resumable = request.position() > 0 && request.work.relay().is_none();
         for attempt in self.requests[key].attempts.clone() {
             if resumable {
-                self.close(attempt);
+                self.remove_attempt(attempt);
                 self.effects.push(Effect::Detach(attempt));
             } else {
                 self.cancel(attempt);
             }
         }
         if let Some(request) = self.remove(key) {
-            self.note(&request, effect::Step::Left, None);
-            self.tell_over(&request, sighting::Stage::Left);
+            self.log_step(&request, effect::Step::Left, None);
+            self.announce_over(&request, sighting::Stage::Left);
             self.dispatch_queued(request.service.pool());
         }
     }
 
     /// A generation's stream ended as it should.
-    pub(crate) fn finished(&mut self, key: attempt::Key, position: u32, reason: String) {
+    pub(crate) fn handle_finished(&mut self, key: attempt::Key, position: u32, reason: String) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
@@ -42,8 +43,8 @@
             self.abandon(key, counter::Reason::Gap);
             return;
         }
-        self.heard(key);
-        self.close(key);
+        self.record_activity(key);
+        self.remove_attempt(key);
         for other in self.requests[owner].attempts.clone() {
             self.cancel(other);
         }
@@ -52,7 +53,7 @@
         };
         self.count(Counter::Answered);
         self.acquit(request.print);
-        self.note(&request, effect::Step::Answered, Some(attempt_upstream));
+        self.log_step(&request, effect::Step::Answered, Some(attempt_upstream));
         self.effects.push(Effect::Finish {
             caller: request.caller,
             position,
@@ -62,8 +63,8 @@
     }
 
     /// A plain service answered.
-    pub(crate) fn replied(&mut self, key: attempt::Key, status: u16, body: Vec<u8>) {
-        let Some(attempt) = self.close(key) else {
+    pub(crate) fn handle_reply(&mut self, key: attempt::Key, status: u16, body: Vec<u8>) {
+        let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
             return;
         };
@@ -78,7 +79,7 @@
         };
         self.count(Counter::Answered);
         self.acquit(request.print);
-        self.note(&request, effect::Step::Answered, Some(attempt.upstream));
+        self.log_step(&request, effect::Step::Answered, Some(attempt.upstream));
         self.effects.push(Effect::Reply {
             body,
             caller: request.caller,
@@ -88,7 +89,7 @@
     }
 
     /// Tokens arrived on a stream, the first of them at `position` of the whole answer.
-    pub(crate) fn tokens(
+    pub(crate) fn handle_tokens(
         &mut self,
         key: attempt::Key,
         position: u32,
@@ -103,7 +104,8 @@
         let request = &self.requests[owner];
         let next = request.position();
         let repeated = pieces.len().min(next.saturating_sub(position) as usize);
-        if position > next || !repeats(&request.delivered, position, &pieces[..repeated]) {
+        if position > next || !matches_delivered(&request.delivered, position, &pieces[..repeated])
+        {
             self.count(Counter::FrameGap);
             self.abandon(key, counter::Reason::Gap);
             return;
@@ -114,7 +116,7 @@
                 .push(Effect::Count(Counter::FrameRepeated, count));
             pieces.drain(..repeated);
         }
-        self.heard(key);
+        self.record_activity(key);
         if pieces.is_empty() {
             return;
         }
@@ -126,15 +128,15 @@
             }
         }
         let current = self.requests[owner].attempts == [key];
-        if !self.check(current, Invariant::SameGeneration) {
+        if !self.check_invariant(current, Invariant::SameGeneration) {
             self.fail(owner, Kind::Internal);
             return;
         }
-        self.accept(owner, number, upstream, pieces);
+        self.deliver(owner, number, upstream, pieces);
     }
 
     /// Adds tokens to a request and gives the caller those that it does not have.
-    fn accept(
+    fn deliver(
         &mut self,
         key: request::Key,
         number: u32,
@@ -160,7 +162,7 @@
         let cursor = request.cursor(number, upstream);
         let caller = request.caller;
         let contiguous = position as usize + pieces.len() == request.delivered.len();
-        if !self.check(contiguous, Invariant::ContiguousTokens) {
+        if !self.check_invariant(contiguous, Invariant::ContiguousTokens) {
             self.fail(key, Kind::Internal);
             return;
         }
@@ -175,7 +177,7 @@
     }
 
     /// Notes that something came from the upstream of an attempt.
-    pub(crate) fn heard(&mut self, key: attempt::Key) {
+    pub(crate) fn record_activity(&mut self, key: attempt::Key) {
         let attempt = &mut self.attempts[key];
         let upstream = &mut self.upstreams[attempt.upstream];
         if attempt.started {
@@ -192,7 +194,7 @@
 }
 
 /// Whether `pieces` at `position` are the tokens that were delivered there.
-fn repeats(delivered: &[u32], position: u32, pieces: &[OutputToken]) -> bool {
+fn matches_delivered(delivered: &[u32], position: u32, pieces: &[OutputToken]) -> bool {
     delivered[(position as usize).min(delivered.len())..]
         .iter()
         .zip(pieces)
