--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,38 +1,38 @@
-//! One sending of a request to one upstream.
+//! A single attempt to run a request on one upstream.
 
 use super::*;
 
 new_key_type! {
-    /// Key of an attempt; never used again after the attempt is over.
+    /// Key of an attempt; never reused after the attempt ends.
     pub struct Key;
 }
 
-/// One sending of a request to one upstream.
+/// A single attempt to run a request on one upstream.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Tokens of requests whose prompts the upstream was believed to read when it was sent, its own with
-    /// them.
+    /// Estimated number of prompt tokens that the upstream had to prefill at the time of sending,
+    /// including this request's own.
     pub ahead_tokens: u32,
-    /// When its first token or event came.
-    pub first_event_at: Option<Time>,
-    /// Last time anything came from the upstream on this stream, or the time of sending.
-    pub last_event_at: Time,
-    /// Upstream that keeps a copy of the run's memory, for relayed streams.
+    /// Upstream that keeps a copy of the run's KV cache; for relayed streams.
     pub backup: Option<upstream::Key>,
-    /// The copy of the run's memory that it goes on from, if any.
+    /// Copied KV cache that the attempt resumes from, if any.
     pub copy: Option<request::KvCopy>,
+    /// When it was created.
+    pub created_at: Time,
+    /// When its first token or event arrived.
+    pub first_event_at: Option<Time>,
+    /// When the upstream last sent anything on this stream; the time of sending before that.
+    pub last_event_at: Time,
     /// Number within the generation, from 1.
     pub number: u32,
-    /// The request that is served.
+    /// The request that it serves.
     pub request: request::Key,
-    /// Whether it was given to the edge for sending; before that its key may be in claim.
+    /// Whether it was handed to the edge for sending; until then its key may still be claimed.
     pub sent: bool,
-    /// When it was made.
-    pub created_at: Time,
-    /// Whether a token has come on this stream.
+    /// Whether a token or event has arrived on this stream.
     pub started: bool,
-    /// Whether the stream is suspected, and a continuation was considered.
+    /// Whether the stream is suspected of having stalled and a second attempt was considered.
     pub suspected: bool,
-    /// Where it was sent.
+    /// Upstream that it was sent to.
     pub upstream: upstream::Key,
 }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -1,153 +1,153 @@
-//! What the core wants done.
+//! Effects that the core asks its driver to carry out.
 
 use super::*;
 
-/// Names a stream at an engine: unique over all instances and attempts.
+/// Identifier of a stream at an engine; unique across instances and attempts.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Stream {
-    /// Identity of the generation.
+    /// Identifier of the generation.
     pub generation: u128,
     /// Number of the attempt, from 1.
     pub number: u32,
 }
 
-/// What is to be sent to an upstream.
+/// Message that is sent to an upstream.
 #[derive(Clone, Debug)]
 pub enum Outbound {
-    /// Go on reading a stream that the engine still runs.
+    /// Resume reading a stream that the engine still runs.
     Attach {
-        /// Position of the first token wanted.
+        /// Position of the first token to read.
         position: u32,
         /// The stream.
         stream: Stream,
     },
-    /// Call a plain service.
+    /// Call a unary service.
     Call {
-        /// Method and path, as the edge writes them.
+        /// Method and path, in the edge's encoding.
         path: Arc<str>,
-        /// Body.
+        /// Request body.
         payload: Arc<[u8]>,
-        /// Whether it may be sent on a connection used before, and sent again.
+        /// Whether it may be sent on a reused connection and retried.
         repeatable: bool,
-        /// Identity of the request, for the upstream's logs.
+        /// Identifier of the request, for the upstream's logs.
         request: u128,
     },
-    /// Pass on a request that the edge holds.
+    /// Forward a request that the edge holds.
     Relay {
-        /// Where a copy of the run's memory shall be kept.
+        /// Upstream that the KV cache of the run is to be copied to.
         backup: Option<SocketAddr>,
-        /// The caller under whose name the edge holds the request.
+        /// The caller under which the edge holds the request.
         caller: request::Caller,
-        /// Name of the run whose copied memory the upstream goes on from.
+        /// Name of the run whose copied KV cache the upstream resumes from.
         copy: Option<Arc<str>>,
-        /// Time that the upstream has, in milliseconds.
+        /// Time left until the deadline, in milliseconds.
         left_ms: u64,
         /// Name of the customer; `None` where callers need no key.
         customer: Option<Arc<str>>,
-        /// Position of the last event that the caller has; 0 for none.
+        /// Position of the last event that the caller received; 0 for none.
         position: u64,
-        /// Whether the answer is a series of events.
+        /// Whether the response is a stream of events.
         streams: bool,
-        /// Name of the upstream, which another one at its address will not answer to.
+        /// Name of the upstream; a different upstream at its address refuses the request.
         upstream: Arc<str>,
     },
-    /// Start a stream that continues from `prefix`.
+    /// Start a stream that continues after `prefix`.
     Generate {
         /// Adapter; empty for none.
         adapter: String,
-        /// How long the engine keeps the stream without a reader; milliseconds.
+        /// How long the engine keeps the stream without a reader, in milliseconds.
         linger_ms: u64,
-        /// Tokens of the whole answer, at most.
+        /// Maximum number of tokens in the whole answer.
         max_tokens: u32,
         /// Model.
         model: Arc<config::Model>,
         /// Prompt and sampling parameters.
         payload: Arc<[u8]>,
-        /// Tokens delivered before.
+        /// Tokens that earlier attempts delivered.
         prefix: Vec<u32>,
-        /// Priority at the engine.
+        /// Scheduling priority at the engine.
         priority: Priority,
         /// The stream.
         stream: Stream,
     },
 }
 
-/// A step in the life of a request.
+/// Step in the life cycle of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// It was answered whole.
+    /// The answer is complete.
     Answered,
-    /// It was re-attached to its stream.
+    /// The request was re-attached to its running stream.
     Attached,
-    /// It was given up on.
+    /// The request failed.
     Failed(Kind),
-    /// Its caller went away.
+    /// The caller disconnected.
     Left,
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete answer.
     Lost(counter::Reason),
-    /// It was sent to an upstream.
+    /// The request was sent to an upstream.
     Sent {
-        /// Upstream that keeps a copy of its memory.
+        /// Upstream that keeps a copy of the run's KV cache.
         backup: Option<Arc<str>>,
-        /// Name of the run whose copied memory it goes on from.
+        /// Name of the run whose copied KV cache the attempt resumes from.
         copy: Option<Arc<str>>,
-        /// Time left, in milliseconds.
+        /// Time left until the deadline, in milliseconds.
         left_ms: u64,
-        /// Age of the list of upstreams that the choice rests on, in milliseconds.
+        /// Age of the upstream list that the choice is based on, in milliseconds.
         list_age_ms: u64,
     },
 }
 
-/// A change of what is believed of an upstream.
+/// Change in the status of an upstream, as this instance sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatusChange {
-    /// It went wrong and gets no new work for a while.
+    /// It failed and receives no new requests for a while.
     Doubted,
     /// It is no longer listed and runs nothing.
     Gone,
-    /// It is of another version than the one in force, and gets no work.
+    /// Its version differs from the one in force, so it receives no requests.
     Held,
-    /// It is leaving.
+    /// It is draining.
     Leaving,
-    /// It takes so many requests a second from all instances together.
+    /// It announced a rate limit that all instances share.
     Limited,
-    /// It was given up on.
+    /// It is considered lost.
     Lost,
     /// It is listed for the first time.
     New,
-    /// It is held back no longer.
+    /// It is no longer held back because of its version.
     Released,
-    /// Another upstream has its address.
+    /// A different upstream listens at its address.
     Replaced,
-    /// It asked for a time without requests of this instance.
+    /// It asked for a period without requests from this instance.
     Resting,
-    /// It started again under its name, and is another one since.
+    /// It restarted under the same name and counts as a new incarnation.
     Restarted,
-    /// It gets work again.
+    /// It receives requests again.
     Trusted,
-    /// It names no limit any more.
+    /// It no longer announces a rate limit.
     Unlimited,
 }
 
-/// A step in the life of a request, with what it was decided by.
+/// Log entry for a step of a request, with the data that the decision is based on.
 #[derive(Clone, Debug)]
 pub struct RequestLog {
     /// Customer.
     pub customer: Arc<config::Customer>,
-    /// Identity of the request.
+    /// Identifier of the request.
     pub generation: u128,
-    /// Tokens delivered, or position of the last event that the caller has.
+    /// Number of tokens delivered, or position of the last event that the caller received.
     pub position: u32,
-    /// What tells that it is one of several tries of its caller.
+    /// Fingerprint that all attempts of a caller at the same request share.
     pub print: Print,
-    /// Name of the run at upstreams, for relayed requests.
+    /// Name of the run at upstreams; `None` unless the request is relayed.
     pub run: Option<Arc<str>>,
     /// Service.
     pub service: Arc<config::Service>,
-    /// Upstream concerned.
-    pub upstream: Option<Arc<str>>,
     /// What happened.
     pub step: Step,
+    /// Upstream concerned.
+    pub upstream: Option<Arc<str>>,
 }
 
 impl StatusChange {
@@ -171,175 +171,176 @@
     }
 }
 
-/// What is to be done about requests that end the upstreams that run them.
+/// Effect concerning requests that crash the upstreams that run them.
 #[derive(Clone, Debug)]
 pub enum Quarantine {
-    /// Find out whether an upstream has ended whose connections broke.
+    /// Broadcast crashes of upstreams to other instances.
+    Announce(Account),
+    /// Find out whether an upstream whose connections broke has crashed.
     CheckCrash {
-        /// Where it listens.
+        /// Address that it listens on.
         address: SocketAddr,
-        /// The upstream.
+        /// Its incarnation.
         life: Life,
     },
-    /// Log that a request which was refused is not any more, and have it forgotten where it is kept: another one explains the
-    /// ends, or they lapsed.
-    Release {
-        /// Whether this instance saw one of the ends itself, and so had the request kept.
-        own: bool,
-        /// The request.
-        print: Print,
-    },
-    /// Hold ready what is known of unplanned ends of upstreams, which has changed.
+    /// Publish the crash history after a change, for other instances that ask for it.
     Publish(Account),
-    /// Log that a request is refused from now on, and have it refused after the loss of all instances too.
+    /// Log that a request is now refused, and persist the refusal so that it survives the loss of
+    /// all instances.
     Refuse {
-        /// The ends that it is guilty by.
+        /// The crashes that led to the refusal.
         ends: Account,
-        /// Whether this instance saw one of them itself.
+        /// Whether this instance observed one of the crashes itself.
         own: bool,
-        /// The request.
+        /// Fingerprint of the request.
+        print: Print,
+    },
+    /// Log that a request is no longer refused, and delete the persisted refusal: another request
+    /// explains the crashes, or they expired.
+    Release {
+        /// Whether this instance observed one of the crashes itself, and so persisted the refusal.
+        own: bool,
+        /// Fingerprint of the request.
         print: Print,
     },
-    /// Tell other instances of unplanned ends of upstreams.
-    Announce(Account),
 }
 
-/// What the core wants done.
+/// Action that the core asks its driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Give a caller the whole answer that the edge holds.
-    ForwardResponse(request::Caller),
-    /// Log that something else is believed of an upstream.
-    LogUpstream {
-        /// What is believed now.
-        change: StatusChange,
-        /// When its life began, in milliseconds since the Unix epoch; 0 where it does not say.
-        born: u64,
-        /// Time since anything came from it, in milliseconds.
-        silent_ms: u64,
-        /// Name of the upstream.
+    /// Abort a relayed stream, so that its caller sees that it is incomplete.
+    AbortStream(request::Caller),
+    /// Broadcast to other instances how many requests for a pool this one receives.
+    AnnounceDemand {
+        /// The demand.
+        demand: Demand,
+        /// Whether the pool is close to its capacity, so that others need the update soon.
+        pressed: bool,
+    },
+    /// Broadcast to other instances that an upstream is draining.
+    AnnounceLeaving {
+        /// Its incarnation.
+        life: Life,
+        /// Its name.
         upstream: Arc<str>,
     },
-    /// Tell other instances that an upstream was lost.
+    /// Broadcast to other instances the rate limit that an upstream sets for all of them together.
+    AnnounceLimit {
+        /// Its incarnation.
+        life: Life,
+        /// The limit; `None` if it no longer announces one.
+        rate: Option<limit::Rate>,
+    },
+    /// Broadcast to other instances that an upstream was lost.
     AnnounceLost(Life),
-    /// Stop an attempt and tell the engine, if it is a stream.
+    /// Broadcast to other instances how fast the engines of a pool are.
+    AnnouncePace(Pace),
+    /// Broadcast the state of a relayed stream to other instances.
+    AnnounceStream(Sighting),
+    /// Abort an attempt and, for a stream, cancel it at the engine.
     Cancel {
-        /// Where the upstream listens.
+        /// Address of the upstream.
         address: SocketAddr,
         /// The attempt.
         attempt: attempt::Key,
-        /// The stream, for generations.
+        /// The stream; `None` unless the request is a generation.
         stream: Option<Stream>,
     },
     /// Claim an idempotency key.
     Claim {
         /// The claim.
         claim: Claim,
-        /// The request it is for.
+        /// The request that needs it.
         request: request::Key,
     },
-    /// A relayed stream is whole.
-    EndStream(request::Caller),
-    /// Count something.
+    /// Add to a counter.
     Count(Counter, u64),
-    /// Break off a relayed stream, so that its caller sees that it is not whole.
-    AbortStream(request::Caller),
-    /// Give tokens to a caller.
+    /// Send tokens to a caller.
     Deliver {
         /// The caller.
         caller: request::Caller,
         /// Encoded cursor after these tokens.
         cursor: [u8; cursor::LENGTH],
+        /// Position of the first token.
+        position: u32,
         /// The tokens.
         tokens: Vec<OutputToken>,
-        /// Position of the first of them.
-        position: u32,
     },
-    /// Tell other instances what this one is asked of a pool.
-    AnnounceDemand {
-        /// What it is asked.
-        demand: Demand,
-        /// Whether the pool is near what it can serve, so that others must know soon.
-        pressed: bool,
-    },
-    /// Stop reading a stream but leave it running, since its caller may come back.
+    /// Stop reading a stream without cancelling it, since its caller may reconnect.
     Detach(attempt::Key),
-    /// Give the caller an error as its final answer.
+    /// End a relayed stream that is complete.
+    EndStream(request::Caller),
+    /// Answer a request with an error.
     Fail {
         /// The caller.
         caller: request::Caller,
-        /// Why.
+        /// Kind of error.
         kind: Kind,
-        /// When to come back, in milliseconds, if that helps.
+        /// Time to wait before retrying, in milliseconds; `None` if a retry does not help.
         retry_after_ms: Option<u64>,
     },
-    /// The generation is whole.
+    /// Report to the caller that a generation is complete.
     Finish {
         /// The caller.
         caller: request::Caller,
-        /// Tokens of the answer.
+        /// Number of tokens in the answer.
         position: u32,
-        /// Why the engine stopped.
+        /// Finish reason given by the engine.
         reason: String,
     },
-    /// Tell other instances that an upstream is leaving.
-    AnnounceLeaving {
-        /// Its life.
-        life: Life,
-        /// Its name.
-        upstream: Arc<str>,
-    },
-    /// Tell other instances what an upstream takes from all of them together.
-    AnnounceLimit {
-        /// Its life.
-        life: Life,
-        /// The limit; `None` if it names none any more.
-        rate: Option<limit::Rate>,
-    },
-    /// Log a step in the life of a request.
-    LogRequest(RequestLog),
-    /// Give a caller the head of a stream that the edge holds.
-    ForwardHead(request::Caller),
-    /// Tell other instances how fast the engines of a pool work.
-    AnnouncePace(Pace),
-    /// Give a caller one event of a relayed stream.
+    /// Forward one event of a relayed stream to a caller.
     ForwardEvent {
         /// The event.
         bytes: Arc<[u8]>,
         /// The caller.
         caller: request::Caller,
     },
-    /// Ask an upstream whether it lives and what its load is.
+    /// Forward to a caller the response head of a stream, which the edge holds.
+    ForwardHead(request::Caller),
+    /// Forward to a caller the complete response that the edge holds.
+    ForwardResponse(request::Caller),
+    /// Log a step in the life cycle of a request.
+    LogRequest(RequestLog),
+    /// Log that the status of an upstream changed.
+    LogUpstream {
+        /// Start time of its incarnation, in milliseconds since the Unix epoch; 0 if unknown.
+        born: u64,
+        /// The change.
+        change: StatusChange,
+        /// Time since anything was received from it, in milliseconds.
+        silent_ms: u64,
+        /// Name of the upstream.
+        upstream: Arc<str>,
+    },
+    /// Probe the health and load of an upstream.
     Probe {
-        /// Where it listens.
+        /// Address that it listens on.
         address: SocketAddr,
         /// The upstream.
         upstream: upstream::Key,
     },
-    /// Something about requests that end their upstreams.
+    /// An effect concerning requests that crash their upstreams.
     Quarantine(Quarantine),
-    /// Give a plain service's answer to the caller.
+    /// Record a duration, in milliseconds.
+    RecordDuration(Timing, u64),
+    /// Forward the response of a unary service to the caller.
     Reply {
-        /// The body.
+        /// Response body.
         body: Vec<u8>,
         /// The caller.
         caller: request::Caller,
         /// HTTP status.
         status: u16,
     },
-    /// Send something to an upstream.
+    /// Send a message to an upstream.
     Send {
-        /// Where it listens.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// The attempt that this is.
+        /// The attempt that the message belongs to.
         attempt: attempt::Key,
-        /// What is sent.
+        /// The message.
         outbound: Outbound,
         /// The upstream.
         upstream: upstream::Key,
     },
-    /// Tell other instances of a relayed stream.
-    AnnounceStream(Sighting),
-    /// Note how long something took, in milliseconds.
-    RecordDuration(Timing, u64),
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,37 +1,37 @@
-//! What the core is told.
+//! Events that the core handles.
 
 use super::*;
 
 /// One token of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OutputToken {
-    /// Text of the token.
-    pub text: String,
     /// Token id.
     pub id: u32,
+    /// Text of the token.
+    pub text: String,
 }
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// The connection broke, or the answer was not to be read, after bytes may have left.
+    /// The connection broke, or the response was malformed, after bytes may have been sent.
     Broken,
-    /// The upstream refused without running it, since it is leaving.
+    /// The upstream refused the request without running it, because it is draining.
     Leaving,
-    /// No byte left: no connection could be made.
+    /// No connection could be established; nothing was sent.
     NotSent,
-    /// The upstream refused without running it.
+    /// The upstream refused the request without running it.
     Refused,
-    /// The upstream called the request wrong, without running it.
+    /// The upstream rejected the request as invalid without running it.
     Rejected,
-    /// Another upstream has the address now; it did not run the request.
+    /// A different upstream now listens at the address; it did not run the request.
     Replaced,
     /// The engine does not know the stream that was to be re-attached.
     UnknownStream,
 }
 
 impl Failure {
-    /// Whether the upstream surely did not run the request.
+    /// Whether it is certain that the upstream did not run the request.
     pub fn was_not_executed(self) -> bool {
         match self {
             Self::Broken | Self::UnknownStream => false,
@@ -40,218 +40,219 @@
     }
 }
 
-/// Outcome of a claim.
+/// Outcome of claiming an idempotency key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimOutcome {
-    /// The claim is this request's.
+    /// This request holds the claim.
     Claimed,
     /// The key was claimed before, with this fingerprint.
     Taken(u64),
-    /// It is not known whether the claim was committed; nothing was sent upstream.
+    /// It is unknown whether the claim was committed; nothing was sent upstream.
     Unavailable,
 }
 
-/// A request as the edge read it.
+/// A request as parsed by the edge.
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// The caller's connection.
     pub caller: request::Caller,
-    /// Cursor and tokens of an earlier connection, if the caller goes on with an answer.
+    /// Encoded cursor of an earlier connection; `None` unless the caller resumes an answer.
     pub cursor: Option<Vec<u8>>,
-    /// Digest of the customer's key.
+    /// Digest of the customer's API key.
     pub customer: String,
     /// Digest of service and body.
     pub fingerprint: u64,
-    /// A new identity, used unless a cursor names an earlier one.
+    /// A new identifier, used unless the cursor names an earlier one.
     pub generation: u128,
     /// Idempotency key, if given.
     pub key: Option<u128>,
-    /// Tokens that the caller has received, if it sent them along with a cursor.
+    /// Tokens that the caller has received, if it sent them with the cursor.
     pub received: Option<Vec<u32>>,
     /// Name of the service.
     pub service: String,
-    /// What is asked.
+    /// Requested operation.
     pub work: Work,
 }
 
-/// What a whole answer of an upstream means for the request.
+/// Classification of a complete response of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// The upstream failed; a repeatable request may be sent to another one.
     Fault,
-    /// It is the answer.
+    /// The response answers the request.
     Good,
 }
 
-/// An instance in the platform's list.
+/// Entry of an upstream, or of an instance, in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListEntry {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// When it started, by its own clock, in milliseconds since the Unix epoch; 0 where it does not say.
+    /// When it started, by its own clock, in milliseconds since the Unix epoch; 0 if unknown.
     pub born: u64,
-    /// Data centre that it stands in.
+    /// Data centre that it runs in.
     pub data_centre: String,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub leaving: bool,
     /// Unique name.
     pub name: String,
-    /// Pool.
+    /// Name of its pool.
     pub pool: String,
-    /// Requests that it runs at once; 0 where that is not known.
+    /// Maximum number of requests that it runs concurrently; 0 if unknown.
     pub slots: u32,
-    /// Place in the order in which upstreams were entered; of two at one address the later one is
-    /// there. The first of all where that is not known.
+    /// Position in the order of registration; if two entries have the same address, the later one
+    /// is valid. The lowest position if unknown.
     pub since: Position,
-    /// Version of its software; empty where it does not say.
+    /// Version of its software; empty if unknown.
     pub version: String,
 }
 
 impl ListEntry {
-    /// The life that the entry speaks of.
+    /// Incarnation that the entry describes.
     pub fn life(&self) -> Life {
         Life::new(&self.name, self.born)
     }
 }
 
-/// What the core is told.
+/// Event that the core handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A relayed request was answered in one piece, which the edge holds.
+    /// A relayed request received a complete response, which the edge holds.
     Answered {
         /// The attempt.
         attempt: attempt::Key,
-        /// What the answer means.
+        /// Classification of the response.
         verdict: Verdict,
     },
-    /// Another instance lost an upstream.
-    LostReported(Life),
-    /// The caller's connection is closed.
+    /// The caller's connection closed.
     CallerGone(request::Caller),
-    /// A load report came along with the tokens of a stream, and is as old as they are.
-    PiggybackedLoad {
-        /// The attempt.
-        attempt: attempt::Key,
-        /// The report.
-        load: Load,
-    },
-    /// It is known whether an upstream has ended whose connections broke.
-    CrashChecked {
-        /// Whether nobody listens at its address.
-        ended: bool,
-        /// The upstream.
-        life: Life,
-    },
     /// A claim was settled.
     Claimed {
-        /// The request whose key was claimed.
-        request: request::Key,
         /// Outcome.
         outcome: ClaimOutcome,
-    },
-    /// A relayed stream ended without an error.
-    StreamEnded {
-        /// The attempt.
-        attempt: attempt::Key,
-        /// Whether the end was marked; else it may be that the upstream was lost between two events.
-        marked: bool,
+        /// The request whose key was claimed.
+        request: request::Key,
     },
     /// A configuration was read from the platform or a peer.
     Config(Arc<Config>),
-    /// Another instance, or the store, told of unplanned ends of upstreams.
+    /// An upstream whose connections broke was checked for a crash.
+    CrashChecked {
+        /// Whether nothing listens at its address.
+        ended: bool,
+        /// Its incarnation.
+        life: Life,
+    },
+    /// Another instance, or the store, reported crashes of upstreams.
     CrashReported(Box<Account>),
-    /// Another instance told what it is asked of a pool of plain services.
+    /// Another instance reported its demand for a pool of unary services.
     DemandReported {
-        /// What it is asked.
+        /// The demand.
         demand: Demand,
-        /// Where it listens.
+        /// Address that the instance listens on.
         from: SocketAddr,
     },
-    /// Another instance heard from an upstream itself that it is leaving.
-    LeavingReported(Life),
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete answer.
     Failed {
         /// The attempt.
         attempt: attempt::Key,
-        /// How.
+        /// How it failed.
         failure: Failure,
     },
-    /// A generation's stream ended as it should.
+    /// The stream of a generation ended normally.
     GenerationFinished {
         /// The attempt.
         attempt: attempt::Key,
-        /// Tokens of the whole answer.
+        /// Number of tokens in the whole answer.
         position: u32,
-        /// Why the engine stopped.
+        /// Finish reason given by the engine.
         reason: String,
     },
-    /// Which instances there are.
+    /// The set of instances changed.
     Instances(View),
-    /// An upstream is leaving; from the list, a peer, or its own word.
+    /// An upstream is draining, according to the list, a peer or the upstream itself.
     Leaving(String),
-    /// Another instance heard the limit of an upstream.
+    /// Another instance was told by an upstream that it is draining.
+    LeavingReported(Life),
+    /// Another instance reported the rate limit of an upstream.
     LimitReported {
-        /// The upstream.
+        /// Incarnation of the upstream.
         life: Life,
-        /// What it takes from all instances together; `None` if it names no limit any more.
+        /// Limit for all instances together; `None` if the upstream no longer announces one.
         rate: Option<limit::Rate>,
     },
-    /// The platform's list.
+    /// The platform's list was read.
     List {
-        /// When it was asked for.
-        requested_at: Time,
-        /// Its lines; `None` if they are those of the last read.
+        /// Its entries; `None` if they are unchanged since the last read.
         entries: Option<Vec<ListEntry>>,
+        /// When the read was started.
+        requested_at: Time,
     },
-    /// A load report.
+    /// An upstream reported its load.
     Load {
-        /// The upstream.
-        upstream: upstream::Key,
         /// The report.
         load: Load,
+        /// The upstream.
+        upstream: upstream::Key,
     },
-    /// An upstream said something of itself beside an answer, which comes behind this.
+    /// Another instance lost an upstream.
+    LostReported(Life),
+    /// An upstream sent a notice about itself with a response; the response follows this event.
     NoticeReceived {
-        /// The attempt that it answered.
+        /// The attempt that it responded to.
         attempt: attempt::Key,
-        /// What it said.
+        /// The notice.
         notice: Notice,
         /// The upstream.
         upstream: upstream::Key,
     },
-    /// A relayed stream began; the edge holds its head.
-    StreamOpened(attempt::Key),
-    /// Another instance told how fast the engines of a pool work.
+    /// Another instance reported how fast the engines of a pool are.
     PaceReported(Pace),
-    /// One whole event of a relayed stream.
-    StreamEvent {
+    /// A load report arrived with the tokens of a stream, and is as old as they are.
+    PiggybackedLoad {
         /// The attempt.
         attempt: attempt::Key,
-        /// The event as the upstream wrote it.
-        bytes: Arc<[u8]>,
-        /// Position; rises within a stream.
-        position: u64,
+        /// The report.
+        load: Load,
     },
-    /// A probe was answered or failed.
+    /// A probe finished.
     Probed {
+        /// Whether the upstream responded.
+        alive: bool,
         /// The upstream.
         upstream: upstream::Key,
-        /// Whether it answered.
-        alive: bool,
     },
-    /// All streams that were kept before the start of this instance have been told.
-    StreamsRestored,
-    /// A plain service answered.
+    /// A unary service responded.
     Replied {
         /// The attempt.
         attempt: attempt::Key,
-        /// Body.
+        /// Response body.
         body: Vec<u8>,
         /// HTTP status.
         status: u16,
     },
-    /// Another instance told of a stream that it relays.
+    /// A relayed stream ended without an error.
+    StreamEnded {
+        /// The attempt.
+        attempt: attempt::Key,
+        /// Whether an end marker was received; without it the upstream may have been lost between
+        /// two events.
+        marked: bool,
+    },
+    /// One complete event of a relayed stream arrived.
+    StreamEvent {
+        /// The attempt.
+        attempt: attempt::Key,
+        /// The event, as the upstream encoded it.
+        bytes: Arc<[u8]>,
+        /// Position; increases within a stream.
+        position: u64,
+    },
+    /// A relayed stream began; the edge holds its response head.
+    StreamOpened(attempt::Key),
+    /// Another instance reported the state of a stream that it relays.
     StreamReported(Sighting),
+    /// All streams that were stored before this instance started have been reported.
+    StreamsRestored,
     /// A request arrived.
     Submit(Box<Submission>),
     /// Time passed.
@@ -260,9 +261,9 @@
     Tokens {
         /// The attempt.
         attempt: attempt::Key,
+        /// Position of the first token in the whole answer.
+        position: u32,
         /// The tokens.
         tokens: Vec<OutputToken>,
-        /// Position of the first of them in the whole answer.
-        position: u32,
     },
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests that an instance has accepted and not yet answered.
+//! Requests that an instance has admitted and not yet answered.
 
 use super::*;
 
@@ -7,58 +7,59 @@
     pub struct Key;
 }
 
-/// Names the caller's connection at the edge; chosen by the edge, never used twice.
+/// Identifier of the caller's connection at the edge; assigned by the edge, never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Caller(pub u64);
 
-/// What is asked.
+/// Operation that a request asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
-    /// One call of a plain service.
+    /// A call of a unary service.
     Call {
-        /// Method and path, as the edge writes them.
+        /// Method and path, in the edge's encoding.
         path: Arc<str>,
-        /// Body as received.
+        /// Request body.
         payload: Arc<[u8]>,
     },
-    /// One generation.
+    /// A generation.
     Generate {
-        /// Tokens of the answer, at most.
+        /// Maximum number of tokens in the answer.
         max_tokens: u32,
-        /// Prompt and sampling parameters as the edge writes them.
+        /// Prompt and sampling parameters, in the edge's encoding.
         payload: Arc<[u8]>,
-        /// Hash of the start of the prompt, for prefix reuse.
+        /// Hash of the prompt prefix, for reuse of cached prefixes.
         prefix: u64,
     },
-    /// A request that is passed on as it is; the edge holds it under the caller's name.
+    /// A request that is forwarded unchanged; the edge holds it under the caller's identifier.
     Relay(Relay),
 }
 
-/// What the core knows of a request that is passed on as it is.
+/// Metadata of a request that is forwarded unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Relay {
-    /// Tokens of the answer, at most; 0 if the request does not say.
-    pub max_answer_tokens: u32,
-    /// Bytes that the edge holds.
+    /// Number of bytes that the edge holds.
     pub bytes: u64,
-    /// Host that the caller named.
+    /// Host that the caller requested.
     pub host: Arc<str>,
+    /// Maximum number of tokens in the answer; 0 if the request sets none.
+    pub max_answer_tokens: u32,
     /// Path without query.
     pub path: Arc<str>,
-    /// How long the caller waits for the whole answer, in milliseconds, if it said so.
-    pub timeout_ms: Option<u64>,
-    /// Position of the last event that the caller has of an earlier answer; 0 for none.
+    /// Position of the last event that the caller received on an earlier connection; 0 for none.
     pub position: u64,
-    /// Identity of the prompt, the same for every try of a caller; 0 if there is none.
+    /// Identifier of the prompt, equal for all attempts of a caller; 0 for none.
     pub prompt: u64,
     /// Name of the run at upstreams.
     pub run: Arc<str>,
-    /// Tokens of prompt and longest answer.
+    /// How long the caller waits for the complete response, in milliseconds; `None` if it sets no
+    /// timeout.
+    pub timeout_ms: Option<u64>,
+    /// Number of tokens in the prompt and the longest possible answer.
     pub tokens: u32,
 }
 
 impl Relay {
-    /// What is told of it to other instances.
+    /// Report for other instances about the request at a stage of processing.
     pub fn sighting(
         &self,
         stage: sighting::Stage,
@@ -77,30 +78,31 @@
     }
 }
 
-/// How far a relayed answer has come.
+/// Progress of a relayed response.
 #[derive(Clone, Debug, Default)]
 pub struct RelayProgress {
-    /// Where a copy of the run's memory is kept, and under which name.
+    /// Copy of the run's KV cache that the next attempt may resume from.
     pub copy: Option<KvCopy>,
-    /// When the caller was given its last event; `None` before the first.
-    pub last_event_at: Option<Time>,
-    /// Whether the edge holds a failed answer of an upstream, to be given if nothing better comes.
+    /// Whether the edge holds an error response of an upstream, to be forwarded if no other attempt
+    /// succeeds.
     pub has_held_error: bool,
-    /// When the stream was lost, until it goes on.
-    pub lost_at: Option<Time>,
-    /// Whether the caller has the head of an answer.
+    /// Whether the response head was forwarded to the caller.
     pub is_open: bool,
-    /// Position of the last event that the caller has.
+    /// When the last event was forwarded to the caller; `None` before the first.
+    pub last_event_at: Option<Time>,
+    /// When the stream was lost; `None` while it is running.
+    pub lost_at: Option<Time>,
+    /// Position of the last event that the caller received.
     pub position: u64,
-    /// Upstream that ran the stream at another instance, and may keep its prompt.
+    /// Upstream that ran the stream for another instance, and may still have its prompt cached.
     pub preferred_upstream: Option<upstream::Key>,
-    /// Position at which a stream ended without a mark that it is whole.
+    /// Position at which a stream ended without an end marker.
     pub unmarked_end: Option<u64>,
-    /// Upstreams that the request reached.
+    /// Number of upstreams that the request reached.
     pub upstreams_reached: u32,
 }
 
-/// A copy of a running stream's memory, from which another upstream than its own can go on.
+/// Copy of the KV cache of a running stream, from which another upstream can resume it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvCopy {
     /// Name of the run that was copied.
@@ -110,7 +112,7 @@
 }
 
 impl Work {
-    /// Tokens of the answer, at most; zero for calls.
+    /// Maximum number of tokens in the answer; 0 unless it is a generation.
     pub fn max_tokens(&self) -> u32 {
         match self {
             Self::Call { .. } | Self::Relay(_) => 0,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Method and path of a call; empty for generations.
+    /// Method and path of a call, path of a relayed request; empty for generations.
     pub fn path(&self) -> Arc<str> {
         match self {
             Self::Call { path, .. } => path.clone(),
@@ -127,7 +129,7 @@
         }
     }
 
-    /// What is sent along; empty where the edge holds it.
+    /// Request body; empty for relayed requests, whose body the edge holds.
     pub fn payload(&self) -> Arc<[u8]> {
         match self {
             Self::Call { payload, .. } | Self::Generate { payload, .. } => payload.clone(),
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The relayed request, if it is one.
+    /// Metadata of a relayed request; `None` for other operations.
     pub fn relay(&self) -> Option<&Relay> {
         match self {
             Self::Relay(relay) => Some(relay),
@@ -152,29 +154,31 @@
     }
 }
 
-/// Where a request stands.
+/// Stage of processing of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
     /// Its idempotency key is being claimed.
     Claiming,
-    /// It waits for an upstream.
+    /// It is queued for an upstream.
     Queued,
-    /// It was sent, or is being sent again.
+    /// It was sent, or is about to be retried.
     Running,
 }
 
-/// A request accepted and not yet answered.
+/// A request that was admitted and not yet answered.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// When it arrived.
     pub arrived_at: Time,
-    /// Attempts under way.
+    /// Attempts in progress.
     pub attempts: Vec<attempt::Key>,
+    /// Upstream that failed last; not chosen again if there is an alternative.
+    pub avoided_upstream: Option<upstream::Key>,
     /// The caller's connection.
     pub caller: Caller,
-    /// Claim needed before it is sent, if any.
+    /// Claim that is needed before it is sent, if any.
     pub claim: Option<Claim>,
-    /// When its claim was first asked for.
+    /// When its claim was first requested.
     pub claim_requested_at: Time,
     /// Whether the queue counts it as running.
     pub counts_as_running: bool,
@@ -186,48 +190,47 @@
     pub delivered: Vec<u32>,
     /// Digest of `delivered`.
     pub digest: Digest,
-    /// Digest of the request's body and service, which binds cursors and claims.
+    /// Digest of the request's body and service; cursors and claims are bound to it.
     pub fingerprint: u64,
+    /// Time by which the first event of a relayed stream should arrive.
+    pub first_event_due: Time,
     /// Whether it reads a continuation that another instance claimed.
     pub follows_peer: bool,
-    /// Bytes counted against the limit of held memory: payload and the longest answer.
-    pub held_bytes: u64,
-    /// Identity of the generation.
+    /// Identifier of the generation.
     pub generation: u128,
-    /// The cursor to re-attach with, until that was tried.
-    pub resume_cursor: Option<Cursor>,
+    /// Bytes that count towards the memory limit: the payload and the longest possible answer.
+    pub held_bytes: u64,
     /// Whether an upstream may have run it.
     pub may_have_run: bool,
     /// Number of the last attempt.
     pub number: u32,
-    /// How far a relayed answer has come.
-    pub progress: RelayProgress,
-    /// What tells that it is one of several tries of its caller.
+    /// Fingerprint that all attempts of a caller at the same request share.
     pub print: Print,
+    /// Progress of a relayed response.
+    pub progress: RelayProgress,
+    /// Cursor to re-attach with; `None` after the attempt to do so.
+    pub resume_cursor: Option<Cursor>,
     /// Time by which it must have been sent.
     pub send_by: Time,
-    /// For how long its caller had waited before it asked here, as far as is known, in milliseconds.
-    pub waited_ms: u64,
-    /// Time by which the first event of its answer is wanted, for relayed streams.
-    pub first_event_due: Time,
-    /// Position before which tokens are not given to the caller, since it has them.
+    /// When it was first sent.
+    pub sent: Option<Time>,
+    /// Requested service.
+    pub service: Arc<config::Service>,
+    /// Position before which tokens are not delivered, because the caller already has them.
     pub skip: u32,
     /// Digest that `delivered` must have at `skip`.
     pub skip_digest: Digest,
-    /// Time at which it was first sent.
-    pub sent: Option<Time>,
-    /// Service asked for.
-    pub service: Arc<config::Service>,
-    /// Where it stands.
+    /// Stage of processing.
     pub state: State,
-    /// Upstream not to be chosen again if another can be: the one that failed last.
-    pub avoided_upstream: Option<upstream::Key>,
-    /// What is asked.
+    /// How long its caller had already waited before this request arrived, in milliseconds, as far
+    /// as known.
+    pub waited_ms: u64,
+    /// Requested operation.
     pub work: Work,
 }
 
 impl Request {
-    /// The cursor at the next position, given by `attempt` of `upstream`.
+    /// Cursor at the next position, served by `attempt` on `upstream`.
     pub fn cursor(&self, attempt: u32, upstream: u64) -> Cursor {
         Cursor {
             attempt,
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Count of tokens delivered, or position of the last event that the caller has.
+    /// Number of tokens delivered, or position of the last event that the caller received.
     pub fn position(&self) -> u32 {
         match &self.work {
             Work::Relay(_) => self.progress.position as u32,
