--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,42 +1,42 @@
-//! The state of an instance and the one way into it.
+//! State of an instance and its single entry point, [`Core::handle`].
 
 use super::*;
 
-/// Name of the pool that the entry instances themselves have in the platform's list.
+/// Pool name under which the instances themselves are registered in the platform's list.
 pub const INSTANCE_POOL: &str = "wellplank";
 
-/// Permits that a retry budget holds when full.
-const BUDGET: f64 = 20.0;
+/// Maximum number of permits in a budget for retries or hedges.
+const BUDGET_PERMITS: f64 = 20.0;
 
-/// Permits that a retry budget gains a second without work.
-const BUDGET_REFILL: f64 = 1.0;
+/// Permits that a budget gains per second when there is no traffic.
+const BUDGET_REFILL_PER_SECOND: f64 = 1.0;
 
-/// Weight of a new sample in the mean duration of requests.
-const DURATION_GAIN: f64 = 0.05;
+/// Weight of a new sample in the moving average of request durations.
+const DURATION_SMOOTHING: f64 = 0.05;
 
-/// Mean duration assumed before the first request has ended, in milliseconds.
-const DURATION_START: f64 = 1_000.0;
+/// Mean request duration assumed until the first request has ended, in milliseconds.
+const INITIAL_DURATION_MS: f64 = 1_000.0;
 
-/// Upstreams of one pool and the work that waits for them.
+/// Upstreams of one pool and the requests queued for them.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
-    /// What all instances ask of it.
+    /// Demand of all instances.
     pub demands: Demands,
-    /// Running mean of the time from sending to the end, in milliseconds.
-    pub mean_duration_ms: f64,
-    /// Paces of its upstreams, and how long they have had no room.
+    /// Speed of its upstreams, and how long they have had no free capacity.
     pub gauge: Gauge,
-    /// Work that waits.
+    /// Moving average of the time from sending a request to its end, in milliseconds.
+    pub mean_duration_ms: f64,
+    /// Queued requests.
     pub queue: Queue,
-    /// Requests that may be sent a second time.
+    /// Budget for retries.
     pub retry_budget: Budget,
-    /// Tokens of a request, in the mean.
+    /// Mean number of tokens of a request.
     pub tokens: gauge::Mean,
     /// Its upstreams.
     pub upstreams: Vec<upstream::Key>,
-    /// Version of its upstreams that is in force; `None` before there was one.
+    /// Version that its upstreams must have to receive requests; `None` until there is one.
     pub version: Option<Arc<str>>,
-    /// Relayed calls that may be under way at once.
+    /// Limit of concurrent relayed calls.
     pub window: Window,
 }
 
@@ -44,10 +44,10 @@
     fn default() -> Self {
         Self {
             demands: Demands::default(),
-            mean_duration_ms: DURATION_START,
             gauge: Gauge::default(),
+            mean_duration_ms: INITIAL_DURATION_MS,
             queue: Queue::default(),
-            retry_budget: Budget::new(BUDGET, BUDGET_REFILL, Time::default()),
+            retry_budget: Budget::new(BUDGET_PERMITS, BUDGET_REFILL_PER_SECOND, Time::default()),
             tokens: gauge::Mean::default(),
             upstreams: Vec::new(),
             version: None,
@@ -56,60 +56,60 @@
     }
 }
 
-/// A request that waits until this instance knows enough after its start.
+/// A request that arrived before this instance had the state that serving it takes.
 #[derive(Clone, Debug)]
 pub(crate) struct DeferredRequest {
-    /// When it came.
+    /// When it arrived.
     pub arrived_at: Time,
     /// The request.
     pub submission: event::Submission,
-    /// Until when it waits.
+    /// Time until which it is deferred.
     pub until: Time,
 }
 
-/// The state of an instance: everything its decisions rest on.
+/// State of an instance; all decisions depend only on it and on the event at hand.
 pub struct Core {
     pub(crate) attempts: SlotMap<attempt::Key, Attempt>,
     pub(crate) callers: HashMap<request::Caller, request::Key>,
+    pub(crate) claim_retries: Vec<(Time, request::Key)>,
     pub(crate) config: Option<Arc<Config>>,
-    /// Data centre that this instance stands in; empty if it does not matter.
+    /// Data centre that this instance runs in; empty if there is no preference.
     pub(crate) data_centre: Arc<str>,
-    /// Requests that came before there was a configuration, and until when each waits for one.
+    /// Requests that arrived before this instance had the state to serve them.
     pub(crate) deferred: Vec<DeferredRequest>,
     pub(crate) effects: Vec<Effect>,
     pub(crate) hedge_budget: Budget,
     pub(crate) held_bytes: u64,
     pub(crate) instances: u32,
-    pub(crate) seed: u64,
-    /// Upstreams by their lives; of each name at most one.
+    /// When the list of upstreams was last read from the store; `None` before the first read.
+    pub(crate) list_read_at: Option<Time>,
+    /// Time until which the list counts as stale, after a pause of this process.
+    pub(crate) list_stale_until: Time,
+    /// Upstreams by incarnation; at most one of each name.
     pub(crate) lives: sighting::Lives,
+    /// Timeouts of the callers of each service.
+    pub(crate) longest_timeouts: HashMap<String, patience::Longest>,
     pub(crate) members: Members,
     pub(crate) now: Time,
-    /// How long callers of each service wait.
-    pub(crate) longest_timeouts: HashMap<String, patience::Longest>,
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
-    /// When the store last showed the list of upstreams; `None` before it was read.
-    pub(crate) list_read_at: Option<Time>,
-    /// Whether the streams that were kept before its start are known.
-    pub(crate) streams_restored: bool,
-    pub(crate) claim_retries: Vec<(Time, request::Key)>,
     pub(crate) requests: SlotMap<request::Key, Request>,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) rotation: usize,
     pub(crate) running: HashMap<String, u32>,
     pub(crate) secret: cursor::Secret,
+    pub(crate) seed: u64,
     pub(crate) settings: Settings,
-    /// Streams that other instances told of.
+    /// Streams that other instances reported.
     pub(crate) sightings: sighting::Sightings,
-    /// What upstreams said of themselves that are listed no more.
+    /// Notices of upstreams that are no longer listed.
     pub(crate) standings: notice::Standings,
-    /// Until when the list is not trusted, since this instance was paused.
-    pub(crate) list_stale_until: Time,
-    /// What is believed of requests that end their upstreams.
+    /// Whether all streams that were stored before its start have been reported.
+    pub(crate) streams_restored: bool,
+    /// Evidence against requests that crash their upstreams.
     pub(crate) suspicion: Suspicion,
     pub(crate) swept_at: Time,
     pub(crate) upstreams: SlotMap<upstream::Key, Upstream>,
-    /// When it last woke from a pause.
+    /// When this process last resumed after a pause.
     pub(crate) woken_at: Time,
 }
 
@@ -119,17 +119,17 @@
         self.config.as_ref().map(|config| config.revision)
     }
 
-    /// Count of requests accepted and not yet answered.
+    /// Number of requests that were admitted or deferred and not yet answered.
     pub fn running(&self) -> usize {
         self.requests.len() + self.deferred.len()
     }
 
-    /// Upstreams known.
+    /// All known upstreams.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// Takes in one event and answers with what is to be done.
+    /// Handles one event and returns the effects to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
@@ -139,15 +139,11 @@
         }
         match event {
             Event::Answered { attempt, verdict } => self.handle_response(attempt, verdict),
-            Event::LostReported(life) => self.record_peer_loss(life),
             Event::CallerGone(caller) => self.handle_caller_gone(caller),
-            Event::PiggybackedLoad { attempt, load } => self.carried(attempt, load),
-            Event::CrashChecked { ended, life } => self.checked(life, ended),
-            Event::Claimed { request, outcome } => self.handle_claim_outcome(request, outcome),
-            Event::StreamEnded { attempt, marked } => self.handle_stream_end(attempt, marked),
+            Event::Claimed { outcome, request } => self.handle_claim_outcome(request, outcome),
             Event::Config(config) => self.apply_config(config),
+            Event::CrashChecked { ended, life } => self.checked(life, ended),
             Event::CrashReported(account) => self.crashed(&account),
-            Event::LeavingReported(life) => self.departing(life),
             Event::DemandReported { demand, from } => self.demanded(from, &demand),
             Event::Failed { attempt, failure } => self.handle_failure(attempt, failure),
             Event::GenerationFinished {
@@ -157,74 +153,78 @@
             } => self.handle_finished(attempt, position, reason),
             Event::Instances(view) => self.see_members(view),
             Event::Leaving(name) => self.hint_leaving(&name),
-            Event::List {
-                requested_at: asked,
-                entries: listed,
-            } => self.list(asked, listed.as_deref()),
+            Event::LeavingReported(life) => self.departing(life),
             Event::LimitReported { life, rate } => self.limit_told(life, rate),
-            Event::Load { upstream, load } => self.report(upstream, load),
+            Event::List {
+                entries,
+                requested_at,
+            } => self.list(requested_at, entries.as_deref()),
+            Event::Load { load, upstream } => self.report(upstream, load),
+            Event::LostReported(life) => self.record_peer_loss(life),
             Event::NoticeReceived {
                 attempt,
                 notice,
                 upstream,
             } => self.noticed(upstream, attempt, &notice),
-            Event::StreamOpened(attempt) => self.handle_stream_opened(attempt),
             Event::PaceReported(pace) => self.record_peer_pace(&pace),
-            Event::StreamEvent {
-                attempt,
-                bytes,
-                position,
-            } => self.handle_stream_event(attempt, position, bytes),
-            Event::Probed { upstream, alive } => self.probed(upstream, alive),
-            Event::StreamsRestored => self.streams_restored(),
+            Event::PiggybackedLoad { attempt, load } => self.carried(attempt, load),
+            Event::Probed { alive, upstream } => self.probed(upstream, alive),
             Event::Replied {
                 attempt,
                 body,
                 status,
             } => self.handle_reply(attempt, status, body),
+            Event::StreamEnded { attempt, marked } => self.handle_stream_end(attempt, marked),
+            Event::StreamEvent {
+                attempt,
+                bytes,
+                position,
+            } => self.handle_stream_event(attempt, position, bytes),
+            Event::StreamOpened(attempt) => self.handle_stream_opened(attempt),
             Event::StreamReported(sighting) => self.record_peer_stream(sighting),
+            Event::StreamsRestored => self.streams_restored(),
             Event::Submit(submission) => self.submit(*submission),
             Event::Tick => self.tick(),
             Event::Tokens {
                 attempt,
-                tokens: pieces,
                 position,
-            } => self.handle_tokens(attempt, position, pieces),
+                tokens,
+            } => self.handle_tokens(attempt, position, tokens),
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// An instance that knows no configuration and no upstream. `seed` feeds its random choices and
-    /// ranks the upstreams that it works with.
+    /// Creates an instance without configuration and upstreams. `seed` initializes its random
+    /// number generator and ranks the upstreams that it works with.
     pub fn new(settings: Settings, secret: cursor::Secret, seed: u64, now: Time) -> Self {
         Self {
             attempts: SlotMap::with_key(),
             callers: HashMap::new(),
+            claim_retries: Vec::new(),
             config: None,
             data_centre: Arc::from(""),
             deferred: Vec::new(),
             effects: Vec::new(),
-            hedge_budget: Budget::new(BUDGET, BUDGET_REFILL, now),
+            hedge_budget: Budget::new(BUDGET_PERMITS, BUDGET_REFILL_PER_SECOND, now),
             held_bytes: 0,
-            seed,
             instances: 1,
             list_read_at: None,
+            list_stale_until: Time::default(),
             lives: BTreeMap::new(),
+            longest_timeouts: HashMap::new(),
             members: Members::default(),
             now,
-            longest_timeouts: HashMap::new(),
             pools: BTreeMap::new(),
-            streams_restored: true,
-            claim_retries: Vec::new(),
             requests: SlotMap::with_key(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             rotation: 0,
             running: HashMap::new(),
             secret,
+            seed,
             settings,
             sightings: sighting::Sightings::default(),
-            list_stale_until: Time::default(),
             standings: notice::Standings::default(),
+            streams_restored: true,
             suspicion: Suspicion::default(),
             swept_at: now,
             upstreams: SlotMap::with_key(),
@@ -232,20 +232,20 @@
         }
     }
 
-    /// Takes other settings from now on.
+    /// Replaces the settings.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// The same instance, standing in a data centre: it prefers upstreams that stand there too.
+    /// Sets the data centre of the instance; it prefers upstreams of the same one.
     #[must_use]
     pub fn in_data_centre(mut self, data_centre: &str) -> Self {
         self.data_centre = data_centre.into();
         self
     }
 
-    /// The same instance, which is still to be told of streams that were kept before its start, and then that
-    /// these are all.
+    /// Makes the instance wait for [`Event::StreamsRestored`] before it resumes streams: those stored
+    /// before its start are yet to be reported.
     #[must_use]
     pub fn restoring_streams(mut self) -> Self {
         self.streams_restored = false;
@@ -263,7 +263,7 @@
         self.check_invariant(after >= current, Invariant::NeverReverts);
     }
 
-    /// Whether `holds`; a broken invariant is counted, and panics in builds with debug assertions.
+    /// Returns `holds`. A violated invariant is counted, and panics if debug assertions are enabled.
     pub(crate) fn check_invariant(&mut self, holds: bool, invariant: Invariant) -> bool {
         if !holds {
             self.count(Counter::Invariant(invariant));
@@ -305,7 +305,7 @@
         })
     }
 
-    /// Takes a request out of the state; every request leaves through here, once.
+    /// Removes a request from the state; every request passes through here exactly once.
     pub(crate) fn remove(&mut self, key: request::Key) -> Option<Request> {
         let request = self.requests.remove(key)?;
         let unanswered = self.callers.remove(&request.caller) == Some(key);
@@ -328,7 +328,7 @@
             }
             if let Some(sent) = request.sent {
                 let duration = self.now.since(sent) as f64;
-                pool.mean_duration_ms += DURATION_GAIN * (duration - pool.mean_duration_ms);
+                pool.mean_duration_ms += DURATION_SMOOTHING * (duration - pool.mean_duration_ms);
             }
         }
         Some(request)
