--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,23 +1,23 @@
-//! Admission: whether a request is accepted, and what it is told if not.
+//! Admission control: whether a request is accepted, and when a rejected caller should retry.
 
 use super::*;
 
-/// Bounds of the time after which a refused caller is asked to come back; milliseconds.
-const RETRY_AFTER: std::ops::RangeInclusive<u64> = 200..=60_000;
+/// Bounds of the retry-after time of a refused request, in milliseconds.
+const RETRY_AFTER_MS: std::ops::RangeInclusive<u64> = 200..=60_000;
 
-/// The part of a caller's patience after which it is asked to come back to instances that have no
-/// configuration; less than the third up to which callers follow.
-const NOT_READY_PART: u64 = 8;
+/// Divisor of the caller's timeout that gives the retry-after time of an instance without
+/// configuration. Callers honour a retry-after time of up to a third of their timeout.
+const NOT_READY_DIVISOR: u64 = 8;
 
-/// Part of the longest wait that a request is accepted with; an estimate that is wrong by less than
-/// the rest leads to no late refusal.
-const WAIT_MARGIN: f64 = 0.5;
+/// Fraction of a service's maximum wait up to which the expected wait admits a request; the
+/// remainder absorbs estimation errors, which would otherwise lead to late refusals.
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// A refusal before anything was sent.
+/// Refusal of a request before anything was sent upstream.
 pub(crate) struct Refusal {
-    /// Why.
+    /// Kind of error.
     pub kind: Kind,
-    /// When to come back.
+    /// Time to wait before retrying; `None` if a retry does not help.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -42,20 +42,21 @@
     Ok((customer.clone(), service.clone()))
 }
 
-/// The refusal of an instance that has no configuration yet. Without the platform's store none is to
-/// be had, so a caller who waits long is asked to come back late.
+/// Refusal by an instance that has no configuration yet. It gets none while the platform's store is
+/// unavailable, so callers with long timeouts are asked to retry late.
 fn not_ready(submission: &event::Submission) -> Refusal {
-    let patience = submission.work.relay().and_then(|relay| relay.timeout_ms);
-    let wait = patience.map_or(0, |patience| patience / NOT_READY_PART);
+    let timeout_ms = submission.work.relay().and_then(|relay| relay.timeout_ms);
+    let wait = timeout_ms.map_or(0, |timeout_ms| timeout_ms / NOT_READY_DIVISOR);
     Refusal {
         kind: Kind::NotReady,
-        retry_after_ms: Some(wait.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end())),
+        retry_after_ms: Some(wait.clamp(*RETRY_AFTER_MS.start(), *RETRY_AFTER_MS.end())),
     }
 }
 
 impl Core {
+    /// Admits or refuses a request; defers it while this instance lacks the state to serve it.
     pub(crate) fn submit(&mut self, submission: event::Submission) {
-        if !self.knows_enough(&submission)
+        if !self.is_ready_for(&submission)
             && let Some(until) = self.defer_until(&submission)
         {
             self.deferred.push(DeferredRequest {
@@ -68,24 +69,24 @@
         self.submit_now(submission);
     }
 
-    /// Whether this instance can serve a request: it has a configuration and a list of upstreams and, for a stream that its caller has
-    /// a part of, the streams that were kept before its start.
-    fn knows_enough(&self, submission: &event::Submission) -> bool {
-        let goes_on = |relay: &request::Relay| relay.position > 0;
-        let goes_on = submission.work.relay().is_some_and(goes_on);
-        self.config.is_some() && self.list_read_at.is_some() && (self.streams_restored || !goes_on)
+    /// Whether this instance has the state to serve a request: a configuration, a list of upstreams
+    /// and, to resume a stream, all streams that were stored before its start.
+    fn is_ready_for(&self, submission: &event::Submission) -> bool {
+        let resumes = |relay: &request::Relay| relay.position > 0;
+        let resumes = submission.work.relay().is_some_and(resumes);
+        self.config.is_some() && self.list_read_at.is_some() && (self.streams_restored || !resumes)
     }
 
-    /// All streams that were kept before the start are known.
+    /// Handles the end of the reports on streams that were stored before the start.
     pub(crate) fn streams_restored(&mut self) {
         self.streams_restored = true;
         self.submit_deferred();
     }
 
-    /// Takes what waited and can be served now, and what has waited long enough.
+    /// Submits the deferred requests that can be served now and those whose deferral expired.
     pub(crate) fn submit_deferred(&mut self) {
         for deferred in std::mem::take(&mut self.deferred) {
-            if self.now < deferred.until && !self.knows_enough(&deferred.submission) {
+            if self.now < deferred.until && !self.is_ready_for(&deferred.submission) {
                 self.deferred.push(deferred);
             } else {
                 self.submit_after_wait(deferred);
@@ -93,28 +94,28 @@
         }
     }
 
-    /// Takes or refuses a request that has waited; its caller has less time left than it said.
+    /// Submits a deferred request with the caller's timeout reduced by the time it has waited.
     fn submit_after_wait(&mut self, deferred: DeferredRequest) {
         let mut submission = deferred.submission;
         let waited = self.now.since(deferred.arrived_at);
         if let Work::Relay(relay) = &mut submission.work {
-            let patience = relay.timeout_ms.as_mut();
-            if let Some(patience) = patience {
-                *patience = patience.saturating_sub(waited);
+            let timeout_ms = relay.timeout_ms.as_mut();
+            if let Some(timeout_ms) = timeout_ms {
+                *timeout_ms = timeout_ms.saturating_sub(waited);
             }
         }
         self.submit_now(submission);
     }
 
-    /// Until when a request may wait for what this instance does not know yet: a part of its caller's patience,
-    /// as far as there is memory for it. The store may be back before.
+    /// Time until which a request may be deferred: a fraction of its caller's timeout, in which the
+    /// store may become available. `None` if the caller has no timeout or the memory limit is reached.
     fn defer_until(&self, submission: &event::Submission) -> Option<Time> {
-        let patience = submission.work.relay()?.timeout_ms?;
-        let wait = (patience as f64 * self.settings.room.early) as u64;
+        let timeout_ms = submission.work.relay()?.timeout_ms?;
+        let wait = (timeout_ms as f64 * self.settings.room.early) as u64;
         let bytes = |deferred: &DeferredRequest| deferred.submission.work.bytes();
         let held: u64 = self.deferred.iter().map(bytes).sum();
-        let room = held + submission.work.bytes() <= self.settings.held_bytes_max;
-        (wait > 0 && room).then(|| self.now.after(wait))
+        let fits = held + submission.work.bytes() <= self.settings.held_bytes_max;
+        (wait > 0 && fits).then(|| self.now.after(wait))
     }
 
     fn submit_now(&mut self, submission: event::Submission) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Gives the final answer to a caller whose request is not held.
+    /// Answers a caller with an error; its request is not, or no longer, part of the state.
     pub(crate) fn refuse(
         &mut self,
         caller: request::Caller,
@@ -143,8 +144,8 @@
         });
     }
 
-    /// When a caller refused for want of room in a pool is asked to come back.
-    pub(crate) fn retry_after(
+    /// Retry-after time for a caller refused because a pool is at capacity, in milliseconds.
+    pub(crate) fn queue_retry_after_ms(
         &mut self,
         pool: &str,
         priority: Priority,
@@ -153,7 +154,7 @@
         let wait = self.expected_wait(pool, priority, customer);
         let jitter = self.rng.random_range(0.8..1.2);
         let wait = (wait as f64 * jitter) as u64;
-        wait.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end())
+        wait.clamp(*RETRY_AFTER_MS.start(), *RETRY_AFTER_MS.end())
     }
 
     fn admit(&mut self, submission: event::Submission) -> Result<request::Key, Refusal> {
@@ -195,14 +196,14 @@
         Ok(key)
     }
 
-    /// Counts a refusal of a caller who was refused before.
+    /// Counts the refusal of a caller that was refused before.
     pub(crate) fn count_refused(&mut self, request: &Request) {
         if request.waited_ms >= demand::RETURNED_MS {
             self.count(Counter::RefusedAgain);
         }
     }
 
-    /// Notes how long a request is.
+    /// Adds a request to the mean request size of its pool.
     fn record_size(&mut self, request: &Request) {
         let tokens = request.work.relay().map_or(0, |relay| relay.tokens);
         let pool = self.pools.entry(request.service.pool().into()).or_default();
@@ -227,7 +228,7 @@
             let wait = pool.mean_duration_ms as u64 / u64::from(running.max(1));
             return Err(Refusal {
                 kind: Kind::CustomerLimit,
-                retry_after_ms: Some(wait.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end())),
+                retry_after_ms: Some(wait.clamp(*RETRY_AFTER_MS.start(), *RETRY_AFTER_MS.end())),
             });
         }
         if !self.is_reachable(service.pool()) {
@@ -243,25 +244,29 @@
         let bytes = submission.work.bytes() + 4 * u64::from(submission.work.max_tokens());
         let full = self.held_bytes + bytes > self.settings.held_bytes_max;
         let wait = self.expected_wait(service.pool(), service.priority, customer);
-        let late = !resumed && wait as f64 > WAIT_MARGIN * service.max_wait_ms as f64;
+        let late = !resumed && wait as f64 > MAX_WAIT_FRACTION * service.max_wait_ms as f64;
         if full || late || queued >= self.settings.queue_max {
             return Err(Refusal {
                 kind: Kind::Overloaded,
-                retry_after_ms: Some(self.retry_after(service.pool(), service.priority, customer)),
+                retry_after_ms: Some(self.queue_retry_after_ms(
+                    service.pool(),
+                    service.priority,
+                    customer,
+                )),
             });
         }
         Ok(())
     }
 
-    /// Whether there is memory for a relayed request. It waits for an upstream rather than be
-    /// refused while one may be free.
+    /// Checks the memory limit for a relayed request. Other limits do not apply: the request is
+    /// queued rather than refused, since an upstream may become free.
     fn check_memory(&self, bytes: u64) -> Result<(), Refusal> {
         if self.held_bytes + bytes <= self.settings.held_bytes_max {
             return Ok(());
         }
         Err(Refusal {
             kind: Kind::Overloaded,
-            retry_after_ms: Some(*RETRY_AFTER.start()),
+            retry_after_ms: Some(*RETRY_AFTER_MS.start()),
         })
     }
 
@@ -284,7 +289,8 @@
         }
     }
 
-    /// Customer and service of a relayed request, by its route.
+    /// Customer and service of a relayed request, chosen by its route; shares of a route are drawn
+    /// by weight.
     fn route_relayed(
         &mut self,
         config: &Config,
@@ -310,8 +316,8 @@
         Ok((customer, share.service.clone()))
     }
 
-    /// Expected time until a new request would be sent, in milliseconds: by the rate at which its
-    /// priority was served lately, else by the time that requests take and the slots there are.
+    /// Expected queueing time of a new request, in milliseconds: from the recent service rate of its
+    /// priority, or else from the mean request duration and the number of slots.
     fn expected_wait(&self, pool: &str, priority: Priority, customer: &config::Customer) -> u64 {
         let Some(pool) = self.pools.get(pool) else {
             return 0;
@@ -334,7 +340,7 @@
         (ahead as f64 * pool.mean_duration_ms / share.max(1.0)) as u64
     }
 
-    /// Whether a pool has an upstream that is neither given up on nor leaving.
+    /// Whether a pool has an upstream that is neither lost nor draining.
     pub(crate) fn is_reachable(&self, pool: &str) -> bool {
         self.pools.get(pool).is_some_and(|pool| {
             pool.upstreams
@@ -344,16 +350,17 @@
         })
     }
 
-    /// For how long a caller has waited before it asked, by its patience and others', in milliseconds.
-    fn waited_ms(&mut self, service: &config::Service, patience_ms: Option<u64>) -> u64 {
-        let Some(patience) = patience_ms else {
+    /// How long a caller had already waited before this request, in milliseconds, estimated from its
+    /// remaining timeout and the timeouts of other callers.
+    fn waited_ms(&mut self, service: &config::Service, timeout_ms: Option<u64>) -> u64 {
+        let Some(timeout_ms) = timeout_ms else {
             return 0;
         };
         let longest = self
             .longest_timeouts
             .entry(service.name.clone())
             .or_default();
-        longest.note(patience, self.now)
+        longest.note(timeout_ms, self.now)
     }
 
     fn build_request(
@@ -372,9 +379,9 @@
             ),
         };
         let relay = submission.work.relay();
-        let patience_ms = relay.and_then(|relay| relay.timeout_ms);
-        let deadline_ms = service.deadline_ms.min(patience_ms.unwrap_or(u64::MAX));
-        let waited_ms = self.waited_ms(&service, patience_ms);
+        let timeout_ms = relay.and_then(|relay| relay.timeout_ms);
+        let deadline_ms = service.deadline_ms.min(timeout_ms.unwrap_or(u64::MAX));
+        let waited_ms = self.waited_ms(&service, timeout_ms);
         let objective = service.relay().map_or(u64::MAX, |relay| relay.objective_ms);
         let first_event_due = self.now.after(objective).0.saturating_sub(waited_ms);
         let progress = relay.map_or_else(request::RelayProgress::default, |relay| {
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -130,7 +130,7 @@
             Work::Call { .. } | Work::Generate { .. } => {
                 let rest = self.come_back_rested(&request);
                 rest.unwrap_or_else(|| {
-                    self.retry_after(pool, request.service.priority, &request.customer)
+                    self.queue_retry_after_ms(pool, request.service.priority, &request.customer)
                 })
             }
         });
