--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -282,8 +282,8 @@
         step: effect::Step,
         upstream: Option<upstream::Key>,
     ) {
-        let note = self.step_record(request, step, upstream);
-        self.effects.push(note);
+        let entry = self.step_record(request, step, upstream);
+        self.effects.push(entry);
     }
 
     pub(crate) fn step_record(
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! Sending: from the queue over the claim to an upstream.
+//! Dispatch of requests: from the queue, through the claim of the idempotency key, to an upstream.
 
 use super::*;
 
 impl Core {
-    /// Lets a new request wait for an upstream, or re-attaches it to its stream.
+    /// Queues a request for an upstream, or re-attaches it to its running stream.
     pub(crate) fn enqueue(&mut self, key: request::Key) {
         if self.attach(key) {
             return;
@@ -19,11 +19,12 @@
             queue.push(request.service.priority, &request.customer, key, self.now);
         }
         self.dispatch_queued(&pool);
-        self.wait_for_room(key);
+        self.handle_no_capacity(key);
     }
 
-    /// Notes that a relayed request found no room, if it waits. One that is known to find none in time is given up on.
-    fn wait_for_room(&mut self, key: request::Key) {
+    /// Records a lack of capacity if a relayed request is still queued, and fails a request that is
+    /// known not to find capacity in time.
+    fn handle_no_capacity(&mut self, key: request::Key) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
@@ -37,15 +38,15 @@
         if request.work.relay().is_none() {
             return;
         }
-        let until = self.may_wait_until(request);
+        let send_by = self.may_wait_until(request);
         let request = &mut self.requests[key];
-        request.send_by = until;
+        request.send_by = send_by;
         let pool: Arc<str> = request.service.pool().into();
         self.pools.entry(pool).or_default().gauge.short(self.now);
         self.announce_waiting(key);
     }
 
-    /// Sends what waits in a pool, as far as upstreams have room.
+    /// Sends the queued requests of a pool for as long as upstreams have capacity.
     pub(crate) fn dispatch_queued(&mut self, name: &str) {
         loop {
             let Some(pool) = self.pools.get_mut(name) else {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Settles a claim.
+    /// Handles the outcome of a claim.
     pub(crate) fn handle_claim_outcome(&mut self, key: request::Key, outcome: event::ClaimOutcome) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -96,15 +97,15 @@
             }
             event::ClaimOutcome::Taken(_) => self.fail(key, Kind::KeyReused),
             event::ClaimOutcome::Unavailable if request.may_have_run => {
-                let again = self.now.after(self.settings.claim_retry_ms);
-                self.claim_retries.push((again, key));
+                let retry_at = self.now.after(self.settings.claim_retry_ms);
+                self.claim_retries.push((retry_at, key));
             }
             event::ClaimOutcome::Unavailable => self.fail(key, Kind::PlatformDown),
         }
     }
 
-    /// Whether a claim that was just settled is surely still kept: a caller's key is not too old, and
-    /// a continuation's claim was asked for less than the retention ago.
+    /// Whether a claim that was just settled is certain to be still stored: a caller's key must not be
+    /// too old, and a continuation's claim must have been requested within the retention period.
     fn is_claim_valid(&self, key: request::Key, claim: &Claim) -> bool {
         let request = &self.requests[key];
         if !request.may_have_run {
@@ -113,12 +114,12 @@
         self.now.since(request.claim_requested_at) <= self.settings.key_age_max_ms
     }
 
-    /// Asks once more for the claims of continuations that the platform did not settle.
+    /// Retries the claims of continuations whose outcome the platform left unknown.
     pub(crate) fn retry_claims(&mut self) {
         let now = self.now;
         let due: Vec<request::Key> = self
             .claim_retries
-            .extract_if(.., |(again, _)| *again <= now)
+            .extract_if(.., |(retry_at, _)| *retry_at <= now)
             .map(|(_, key)| key)
             .collect();
         for request in due {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Starts a second attempt of a generation whose stream is suspected.
+    /// Hedges a generation whose stream may have stalled with a second attempt.
     pub(crate) fn hedge(&mut self, key: request::Key) {
         let request = &self.requests[key];
         let allowed = request.service.policy == Policy::Latency
@@ -155,7 +156,7 @@
         self.send_attempt(attempt);
     }
 
-    /// Re-attaches a request that came with a cursor; false if there is none.
+    /// Re-attaches a request that has a cursor to its stream; returns false if it has none.
     fn attach(&mut self, key: request::Key) -> bool {
         let Some(cursor) = self.requests[key].resume_cursor.take() else {
             return false;
@@ -167,7 +168,8 @@
         true
     }
 
-    /// Asks an upstream for the stream of an attempt; false if the upstream is gone.
+    /// Re-attaches a request to the stream of an attempt at an upstream; returns false if the
+    /// upstream is gone.
     fn attach_to(&mut self, key: request::Key, upstream: u64, number: u32) -> bool {
         let found = self
             .upstreams
@@ -184,8 +186,8 @@
         let generation = request.generation;
         let attempt = self.open_attempt(key, upstream);
         self.attempts[attempt].sent = true;
-        let note = self.step_record(&self.requests[key], effect::Step::Attached, Some(upstream));
-        self.effects.push(note);
+        let entry = self.step_record(&self.requests[key], effect::Step::Attached, Some(upstream));
+        self.effects.push(entry);
         self.effects.push(Effect::Send {
             address: self.upstreams[upstream].address,
             attempt,
@@ -198,8 +200,8 @@
         true
     }
 
-    /// Follows a continuation that another instance claimed: its stream is read on from here. It
-    /// is never started a second time.
+    /// Attaches to a continuation that another instance claimed. The continuation is never started a
+    /// second time.
     fn follow_peer(&mut self, key: request::Key, upstream: u64) {
         let request = &mut self.requests[key];
         request.claim = None;
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Makes an attempt at an upstream, not yet sent.
+    /// Creates an attempt at an upstream without sending it.
     fn open_attempt(&mut self, key: request::Key, upstream: upstream::Key) -> attempt::Key {
         let request = &mut self.requests[key];
         request.number += 1;
@@ -241,18 +243,19 @@
         attempt
     }
 
-    /// Gives an attempt to the edge. The last check before a request may run.
+    /// Hands an attempt to the edge, after the last invariant checks before a request may run.
     fn send_attempt(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
         let upstream_key = attempt.upstream;
         let upstream = &self.upstreams[upstream_key];
         let continues = request.position() > 0 && self.settings.continue_non_repeatable;
-        let alone = request
+        let is_only_sent = request
             .attempts
             .iter()
             .all(|other| *other == key || !self.attempts[*other].sent);
-        let once = request.service.repeatable || (alone && (!request.may_have_run || continues));
+        let runs_once =
+            request.service.repeatable || (is_only_sent && (!request.may_have_run || continues));
         let (address, leaves) = (upstream.address, upstream.leaves(self.now));
         let rests = upstream.rests(self.now);
         let (number, owner) = (attempt.number, attempt.request);
@@ -269,7 +272,7 @@
             self.refuse_guilty(owner);
             return;
         }
-        if !self.check_invariant(once, Invariant::RunsOnce) {
+        if !self.check_invariant(runs_once, Invariant::RunsOnce) {
             self.fail(owner, Kind::Unknown);
             return;
         }
@@ -278,9 +281,9 @@
         self.requests[owner].sent.get_or_insert(self.now);
         self.requests[owner].progress.upstreams_reached += 1;
         let upstream = self.attempts[key].upstream;
-        let what = self.sent_step(key);
-        let note = self.step_record(&self.requests[owner], what, Some(upstream));
-        self.effects.push(note);
+        let step = self.sent_step(key);
+        let entry = self.step_record(&self.requests[owner], step, Some(upstream));
+        self.effects.push(entry);
         self.effects.push(Effect::Send {
             address,
             attempt: key,
@@ -289,7 +292,7 @@
         });
     }
 
-    /// What is noted of an attempt that is sent.
+    /// Log step of an attempt that is sent.
     fn sent_step(&self, key: attempt::Key) -> effect::Step {
         let attempt = &self.attempts[key];
         let backup = attempt.backup.and_then(|key| self.upstreams.get(key));
@@ -301,7 +304,8 @@
         }
     }
 
-    /// Sends a request whose claim is settled, or lets it wait again if its upstream went away.
+    /// Sends a request whose claim is settled, or queues it again if its upstream no longer accepts
+    /// requests.
     fn send_claimed(&mut self, key: request::Key) {
         let request = &mut self.requests[key];
         request.state = State::Running;
@@ -318,7 +322,7 @@
         self.enqueue(key);
     }
 
-    /// Starts an attempt: at once, or after the claim that it needs.
+    /// Starts an attempt: immediately, or after the claim that it needs.
     fn start_attempt(&mut self, key: request::Key, upstream: upstream::Key) {
         let nonce = self.rng.random();
         let attempt = self.open_attempt(key, upstream);
@@ -347,7 +351,7 @@
 }
 
 impl Request {
-    /// What an attempt sends.
+    /// Message that an attempt sends to its upstream.
     fn outbound(&self, number: u32, settings: &Settings) -> effect::Outbound {
         match (&self.work, &self.service.target) {
             (
