--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -1,9 +1,10 @@
-//! What follows when an attempt fails: another attempt, a continuation, or an honest error.
+//! Recovery from failed attempts: a retry, a continuation, or an error that states correctly whether
+//! the request may have run.
 
 use super::*;
 
 impl Core {
-    /// An attempt ended without a whole answer.
+    /// Handles an attempt that ended without a complete answer.
     pub(crate) fn handle_failure(&mut self, key: attempt::Key, failure: Failure) {
         let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
@@ -11,7 +12,7 @@
         };
         let request = attempt.request;
         if self.requests[request].work.relay().is_some() {
-            self.relay_failed(&attempt, failure);
+            self.handle_relay_failure(&attempt, failure);
             return;
         }
         let reason = match failure {
@@ -45,7 +46,7 @@
         self.go_on_checked(request, attempt.upstream, reason);
     }
 
-    /// Gives up on an attempt that the upstream may still be running.
+    /// Abandons an attempt that the upstream may still be running, and recovers its request.
     pub(crate) fn abandon(&mut self, key: attempt::Key, reason: counter::Reason) {
         let Some(attempt) = self.cancel(key) else {
             return;
@@ -62,7 +63,7 @@
         self.recover(attempt.request, reason);
     }
 
-    /// Stops an attempt and tells the engine.
+    /// Removes an attempt and, if it was sent, cancels it at the engine.
     pub(crate) fn cancel(&mut self, key: attempt::Key) -> Option<Attempt> {
         let attempt = self.remove_attempt(key)?;
         if attempt.sent {
@@ -80,7 +81,7 @@
         Some(attempt)
     }
 
-    /// Takes an attempt out of the state.
+    /// Removes an attempt from the state, its request and its upstream.
     pub(crate) fn remove_attempt(&mut self, key: attempt::Key) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(request) = self.requests.get_mut(attempt.request) {
@@ -93,15 +94,19 @@
         Some(attempt)
     }
 
-    /// Gives the caller an error as its final answer.
+    /// Fails a request: cancels its attempts and ends the caller's response. A stream that has begun is
+    /// aborted; otherwise a held error response of an upstream is forwarded in preference to `kind`.
     pub(crate) fn fail(&mut self, key: request::Key, kind: Kind) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let touched = self.may_have_executed(request);
-        let not_run = kind.answer().ran == kind::Ran::No;
-        let honest = self.check_invariant(!(not_run && touched), Invariant::NotRunIsTrue);
-        let kind = if honest { kind } else { Kind::Unknown };
+        let maybe_executed = self.may_have_executed(request);
+        let claims_unexecuted = kind.answer().ran == kind::Ran::No;
+        let is_consistent = self.check_invariant(
+            !(claims_unexecuted && maybe_executed),
+            Invariant::NotRunIsTrue,
+        );
+        let kind = if is_consistent { kind } else { Kind::Unknown };
         for attempt in self.requests[key].attempts.clone() {
             self.cancel(attempt);
         }
@@ -109,7 +114,7 @@
             return;
         };
         self.log_step(&request, effect::Step::Failed(kind), None);
-        self.announce_over(&request, sighting::Stage::Left);
+        self.announce_end(&request, sighting::Stage::Left);
         let pool = request.service.pool();
         if request.progress.is_open {
             self.count(Counter::Refused(kind));
@@ -122,7 +127,7 @@
             self.dispatch_queued(pool);
             return;
         }
-        if not_run {
+        if claims_unexecuted {
             self.count_refused(&request);
         }
         let retry_after_ms = kind.answer().retry.then(|| match request.work {
@@ -138,13 +143,14 @@
         self.dispatch_queued(pool);
     }
 
-    /// Gives up on a request: `unsent` if no upstream can have run it, else `sent`.
+    /// Fails a request with `unsent` if no upstream can have run it, otherwise with `sent`.
     pub(crate) fn give_up(&mut self, key: request::Key, unsent: Kind, sent: Kind) {
-        let touched = self.may_have_executed(&self.requests[key]);
-        self.fail(key, if touched { sent } else { unsent });
+        let maybe_executed = self.may_have_executed(&self.requests[key]);
+        self.fail(key, if maybe_executed { sent } else { unsent });
     }
 
-    /// Sends a request on after its last attempt is over, if that is allowed.
+    /// Retries or continues a request after its last attempt ended, if that is permitted; fails it
+    /// otherwise.
     pub(crate) fn recover(&mut self, key: request::Key, reason: counter::Reason) {
         let request = &self.requests[key];
         if !request.attempts.is_empty() || request.state == State::Claiming {
@@ -155,7 +161,7 @@
             return;
         }
         if request.follows_peer && reason == counter::Reason::Caller {
-            // The other instance claimed the continuation but its stream is not there.
+            // Another instance claimed the continuation, but its stream does not exist.
             self.fail(key, Kind::Unknown);
             return;
         }
@@ -187,8 +193,9 @@
         }
     }
 
-    /// Whether a request may be sent a second time: what no upstream took in may, everything else needs a
-    /// permit. Each upstream that is gone is met once, so this adds no load to those that are there.
+    /// Whether a request may be retried. Requests that no upstream accepted need no permit: each failed
+    /// upstream is hit once, so their retries add no load to the others. All others take a permit from
+    /// the retry budget.
     pub(crate) fn may_retry(&mut self, key: request::Key, reason: counter::Reason) -> bool {
         if self.settings.shared.unsent && reason.never_taken_in() {
             return true;
@@ -202,7 +209,7 @@
         pool.retry_budget.spend(self.now)
     }
 
-    /// Whether an upstream may have run any of a request.
+    /// Whether an upstream may have run a request, even in part.
     fn may_have_executed(&self, request: &Request) -> bool {
         let sent = |key: &attempt::Key| self.attempts[*key].sent;
         request.may_have_run || request.attempts.iter().any(sent)
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,20 +1,20 @@
-//! Requests and answers that are passed on as they are: what is given to the caller, and what
-//! follows when an upstream is lost.
+//! Requests and responses that are forwarded unchanged, and failover when an upstream is lost.
 //!
-//! The edge holds requests, heads and whole answers; the core knows positions of events only.
+//! The edge holds requests, response heads and complete responses; the core only tracks the positions
+//! of events.
 
 use super::*;
 
-/// Usual times between two events that a stream of a busy engine may be silent; such engines are late with
-/// some events by twice that.
-const STALL_EVENTS: u64 = 3;
+/// Multiple of the usual interval between events after which a stream counts as stalled. Busy engines
+/// deliver some events late by twice that interval.
+const STALL_INTERVALS: u64 = 3;
 
-/// Time for which an upstream that refused a request is believed to have no room, in milliseconds: some
-/// tens of steps of an engine.
+/// How long an upstream counts as full after it refused a request, in milliseconds; equals some tens
+/// of engine steps.
 const FULL_MS: u64 = 250;
 
 impl Core {
-    /// An upstream answered a relayed request in one piece.
+    /// Handles the complete, non-streaming response to a relayed request.
     pub(crate) fn handle_response(&mut self, key: attempt::Key, verdict: event::Verdict) {
         let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
@@ -43,16 +43,17 @@
         self.complete(owner, attempt.upstream, Effect::ForwardResponse);
     }
 
-    /// Whether a request that an upstream failed is sent on. What fails by itself fails everywhere, and while a service is nearly
-    /// full its second sending takes the place of a call that could be in time.
+    /// Whether a request that an upstream answered with an error may be retried. A request that is the
+    /// cause of its error fails at every upstream, and while a service is near capacity the retry would
+    /// displace a call that can still meet its deadline.
     fn may_retry_error(&self, key: request::Key) -> bool {
         let request = &self.requests[key];
-        let crowds = !request.service.streams() && self.is_full(request.service.pool());
-        request.service.repeatable && (self.settings.calls.second || !crowds)
+        let displaces_calls = !request.service.streams() && self.is_full(request.service.pool());
+        request.service.repeatable && (self.settings.calls.second || !displaces_calls)
     }
 
-    /// A relayed stream ended without an error. An end that is not marked is believed when a second
-    /// upstream, asked to go on behind the last event, has nothing more either.
+    /// Handles a relayed stream that ended without an error. An end without an end marker is accepted
+    /// once a second upstream, asked to continue after the last event, sends no more events either.
     pub(crate) fn handle_stream_end(&mut self, key: attempt::Key, marked: bool) {
         let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
@@ -65,8 +66,8 @@
             return;
         }
         let ended_before = progress.unmarked_end.replace(progress.position);
-        let believed = marked || ended_before == Some(progress.position);
-        if !believed && self.may_continue(owner) {
+        let is_complete = marked || ended_before == Some(progress.position);
+        if !is_complete && self.may_continue(owner) {
             self.remember_copy(&attempt);
             self.log_lost(&attempt, counter::Reason::Unmarked);
             self.suspect(&attempt);
@@ -76,7 +77,7 @@
         self.complete(attempt.request, attempt.upstream, Effect::EndStream);
     }
 
-    /// A relayed stream began. Only the first head of an answer goes to the caller.
+    /// Handles the start of a relayed stream. Only the first response head is forwarded to the caller.
     pub(crate) fn handle_stream_opened(&mut self, key: attempt::Key) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// One event of a relayed stream came. It goes to the caller if it is the next one.
+    /// Handles one event of a relayed stream, and forwards it to the caller if it is the next one.
     pub(crate) fn handle_stream_event(
         &mut self,
         key: attempt::Key,
@@ -109,9 +110,9 @@
             self.announce_attempt(key, sighting::Stage::Streaming);
         }
         let request = &mut self.requests[owner];
-        let current = request.attempts == [key];
+        let is_only_attempt = request.attempts == [key];
         let next = request.progress.position + 1;
-        if !self.check_invariant(current, Invariant::SameGeneration) {
+        if !self.check_invariant(is_only_attempt, Invariant::SameGeneration) {
             self.fail(owner, Kind::Internal);
             return;
         }
@@ -131,7 +132,7 @@
         self.effects.push(Effect::ForwardEvent { bytes, caller });
     }
 
-    /// Notes how long a caller waited for an event.
+    /// Records how long a caller waited for an event.
     fn record_event_delay(&mut self, key: request::Key) {
         let request = &mut self.requests[key];
         let timed = match (
@@ -153,50 +154,53 @@
             .push(Effect::RecordDuration(timing, self.now.since(since)));
     }
 
-    /// Learns how fast prompts are read from the first event of a stream that did not go on from a copy.
+    /// Records the prefill time of a stream at its first event, unless it resumed from a copy.
     fn record_prefill(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
-        let fresh = attempt.copy.is_none() && request.progress.position == 0;
-        let took = self.now.since(attempt.created_at);
+        let is_full_prefill = attempt.copy.is_none() && request.progress.position == 0;
+        let duration = self.now.since(attempt.created_at);
         let name: Arc<str> = request.service.pool().into();
-        let Some(pool) = self.pools.get_mut(&name).filter(|_| fresh) else {
+        let Some(pool) = self.pools.get_mut(&name).filter(|_| is_full_prefill) else {
             return;
         };
-        let pace = pool.gauge.read(name, attempt.ahead_tokens, took, self.now);
+        let pace = pool
+            .gauge
+            .read(name, attempt.ahead_tokens, duration, self.now);
         if let Some(pace) = pace.filter(|_| self.settings.shared.paces) {
             self.effects.push(Effect::AnnouncePace(pace));
         }
     }
 
-    /// Another instance told how fast the engines of a pool work.
+    /// Records the speed of a pool's engines as reported by another instance.
     pub(crate) fn record_peer_pace(&mut self, pace: &Pace) {
         let pool = self.pools.entry(pace.pool.clone()).or_default();
         pool.gauge.hear(pace);
     }
 
-    /// Another instance told of a stream.
+    /// Records the state of a stream as reported by another instance.
     pub(crate) fn record_peer_stream(&mut self, sighting: Sighting) {
         let starts = sighting.stage == sighting::Stage::Started;
         let upstream = sighting.upstream;
         let upstream = upstream.and_then(|life| self.lives.get(&life).copied());
-        let mut reading_ms = sighting::READING_MS;
+        let mut prefill_ms = sighting::READING_MS;
         if let Some(upstream) = upstream.filter(|_| starts) {
             let ahead = self.sightings.usage(upstream).reading_tokens;
             let name = self.upstreams[upstream].pool.clone();
             let pool = self.pools.entry(name).or_default();
             pool.gauge.started(self.now);
             if let Some(millis) = pool.gauge.known_reading(ahead + sighting.tokens) {
-                reading_ms = millis;
+                prefill_ms = millis;
             }
         }
         let lives = &self.lives;
         self.sightings
-            .add(sighting, false, reading_ms, lives, self.now);
+            .add(sighting, false, prefill_ms, lives, self.now);
     }
 
-    /// Where a relayed request begins: behind the events that its caller has, and from the copied
-    /// memory of the stream that another instance told of, if the caller had it there.
+    /// Initial progress of a relayed request. A request that resumes a stream starts after the last
+    /// event that its caller received, from the KV copy or the upstream that another instance reported
+    /// for the stream.
     pub(crate) fn initial_progress(&self, relay: &request::Relay) -> request::RelayProgress {
         let mut progress = request::RelayProgress {
             position: relay.position,
@@ -225,8 +229,8 @@
         })
     }
 
-    /// Remembers where the memory of a lost attempt was copied to. Copies begin with the first event:
-    /// of 18 streams that were lost before it none had one.
+    /// Remembers where the KV cache of a lost attempt was copied to. Copying begins with the first
+    /// event: of 18 streams lost before it, none had a copy.
     pub(crate) fn remember_copy(&mut self, attempt: &Attempt) {
         let request = &mut self.requests[attempt.request];
         let run = request.work.relay().map(|relay| relay.run.clone());
@@ -234,7 +238,8 @@
         request.progress.copy = copy.map(|(upstream, run)| request::KvCopy { run, upstream });
     }
 
-    /// Chooses where a copy of a stream's memory is kept while it runs, and tells other instances.
+    /// Chooses the upstream that keeps a copy of a stream's KV cache, and announces the stream to other
+    /// instances.
     pub(crate) fn prepare_relay(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let (owner, upstream) = (attempt.request, attempt.upstream);
@@ -253,8 +258,8 @@
         self.announce_attempt(key, sighting::Stage::Started);
     }
 
-    /// A relayed attempt ended without an answer.
-    pub(crate) fn relay_failed(&mut self, attempt: &Attempt, failure: Failure) {
+    /// Handles a relayed attempt that ended without a response.
+    pub(crate) fn handle_relay_failure(&mut self, attempt: &Attempt, failure: Failure) {
         let owner = attempt.request;
         let upstream = attempt.upstream;
         let request = &mut self.requests[owner];
@@ -294,7 +299,7 @@
             let progress = &mut self.requests[owner].progress;
             progress.upstreams_reached = progress.upstreams_reached.saturating_sub(1);
         }
-        // What follows from an end may be that this request is given up.
+        // The crash suspicion may lead to the failure of this request.
         match failure {
             Failure::Broken => self.suspect(attempt),
             Failure::Replaced => self.replaced(upstream),
@@ -303,7 +308,7 @@
         self.go_on_checked(owner, upstream, reason);
     }
 
-    /// Sends a relayed request on after its last attempt is over, if that is allowed.
+    /// Retries or resumes a relayed request after its last attempt ended, if that is permitted.
     pub(crate) fn retry_relay(&mut self, key: request::Key, reason: counter::Reason) {
         if self.is_guilty(self.requests[key].print) {
             self.refuse_guilty(key);
@@ -327,7 +332,7 @@
         self.enqueue(key);
     }
 
-    /// Whether another upstream may be sent a relayed request.
+    /// Whether a relayed request may be sent to another upstream.
     fn may_continue(&self, key: request::Key) -> bool {
         let request = &self.requests[key];
         let Some(relay) = request.service.relay() else {
@@ -335,13 +340,17 @@
         };
         let repeatable = request.service.repeatable || !request.may_have_run;
         let resumes = relay.resumable && self.settings.relay_resume != Resume::None;
-        let whole = !request.progress.is_open || resumes;
-        let reached = request.progress.upstreams_reached < relay.attempts_max.max(1);
-        let sent = request.number < self.settings.attempts_max;
-        repeatable && whole && reached && sent && self.now < request.deadline
+        let can_resume = !request.progress.is_open || resumes;
+        let has_upstreams_left = request.progress.upstreams_reached < relay.attempts_max.max(1);
+        let has_attempts_left = request.number < self.settings.attempts_max;
+        repeatable
+            && can_resume
+            && has_upstreams_left
+            && has_attempts_left
+            && self.now < request.deadline
     }
 
-    /// What is sent for a relayed attempt.
+    /// Message that a relayed attempt sends to its upstream.
     pub(crate) fn relay_outbound(&self, key: attempt::Key) -> effect::Outbound {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
@@ -361,16 +370,16 @@
         }
     }
 
-    /// Notes that an attempt ended without a whole answer.
+    /// Logs that an attempt ended without a complete response.
     pub(crate) fn log_lost(&mut self, attempt: &Attempt, reason: counter::Reason) {
         let request = &self.requests[attempt.request];
-        let what = effect::Step::Lost(reason);
-        let note = self.step_record(request, what, Some(attempt.upstream));
-        self.effects.push(note);
+        let step = effect::Step::Lost(reason);
+        let entry = self.step_record(request, step, Some(attempt.upstream));
+        self.effects.push(entry);
     }
 
-    /// Looks for relayed requests of an upstream that is silent too long. When one stream falls
-    /// silent and nothing else comes from the upstream either, all its streams have lost it.
+    /// Abandons the relayed attempts of an upstream that have been silent for too long. If one stream
+    /// is silent and the upstream sends nothing else either, all its streams count as lost.
     pub(crate) fn check_relay_stalls(&mut self, key: upstream::Key) {
         let silent = self.now.since(self.upstreams[key].heard) > self.settings.relay_stall_ms;
         for attempt_key in self.upstreams[key].attempts.clone() {
@@ -382,15 +391,17 @@
             let Some(relay) = request.service.relay() else {
                 continue;
             };
-            let doubted = self.upstreams[key].health == Health::Suspected && silent;
+            let suspected = self.upstreams[key].health == Health::Suspected && silent;
             let lost = if relay.streams {
-                relay.resumable && silence > self.stall_timeout_ms(attempt, relay, doubted)
+                relay.resumable && silence > self.stall_timeout_ms(attempt, relay, suspected)
             } else {
-                let spare = request.progress.upstreams_reached < relay.attempts_max;
-                request.service.repeatable && spare && silence > self.settings.relay_call_ms
+                let has_upstreams_left = request.progress.upstreams_reached < relay.attempts_max;
+                request.service.repeatable
+                    && has_upstreams_left
+                    && silence > self.settings.relay_call_ms
             };
-            // A prompt that is only read slowly would be read no sooner where there is no room.
-            let slow = relay.streams && !attempt.started && attempt.copy.is_none() && !doubted;
+            // Without capacity elsewhere, a slow prefill would not finish sooner on another upstream.
+            let slow = relay.streams && !attempt.started && attempt.copy.is_none() && !suspected;
             if lost && !(slow && self.lacks_room(request)) {
                 if silent {
                     self.report_loss(key);
@@ -402,15 +413,15 @@
         }
     }
 
-    /// Silence in milliseconds after which a stream has lost its upstream. Before its first event it
-    /// waits for its prompt to be read, unless the upstream is `doubted` with all its streams.
-    fn stall_timeout_ms(&self, attempt: &Attempt, relay: &config::Relay, doubted: bool) -> u64 {
+    /// Time without events after which a stream counts as stalled, in milliseconds. Before the first
+    /// event it includes the prefill, unless the whole upstream is `suspected`.
+    fn stall_timeout_ms(&self, attempt: &Attempt, relay: &config::Relay, suspected: bool) -> u64 {
         if attempt.started {
             let request = &self.requests[attempt.request];
             let pool = self.pools.get(request.service.pool());
-            let usual = pool.map_or(0, |pool| pool.gauge.event_ms());
-            self.settings.relay_stall_ms.max(usual * STALL_EVENTS)
-        } else if doubted {
+            let interval = pool.map_or(0, |pool| pool.gauge.event_ms());
+            self.settings.relay_stall_ms.max(interval * STALL_INTERVALS)
+        } else if suspected {
             self.settings.relay_stall_ms
         } else if attempt.copy.is_some() {
             self.settings.relay_copy_ms
@@ -419,7 +430,7 @@
         }
     }
 
-    /// An upstream was lost: it is doubted here, and other instances are told.
+    /// Marks an upstream that was lost as suspected, and announces the loss to other instances.
     fn report_loss(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         upstream.trouble.add(self.now);
@@ -427,14 +438,15 @@
         self.doubt(key);
     }
 
-    /// Another instance lost an upstream. That may be its own link, so it is only one failure.
+    /// Records the loss of an upstream as reported by another instance. The cause may be that instance's
+    /// own network link, so the report counts as a single failure.
     pub(crate) fn record_peer_loss(&mut self, life: Life) {
         if let Some(key) = self.lives.get(&life) {
             self.upstreams[*key].trouble.add(self.now);
         }
     }
 
-    /// Tells other instances of a stream that is being sent or has begun.
+    /// Announces a stream that is being sent or has begun to other instances.
     fn announce_attempt(&mut self, key: attempt::Key, stage: sighting::Stage) {
         let attempt = &self.attempts[key];
         let life = |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.life);
@@ -446,7 +458,7 @@
         }
     }
 
-    /// Tells other instances that a stream waits for room.
+    /// Announces to other instances that a stream is queued for lack of capacity.
     pub(crate) fn announce_waiting(&mut self, key: request::Key) {
         let request = &self.requests[key];
         if let Some(relay) = request.work.relay() {
@@ -456,8 +468,8 @@
         }
     }
 
-    /// Tells other instances that a stream is over, or left by its caller.
-    pub(crate) fn announce_over(&mut self, request: &Request, stage: sighting::Stage) {
+    /// Announces to other instances that a stream ended, or that its caller left.
+    pub(crate) fn announce_end(&mut self, request: &Request, stage: sighting::Stage) {
         if let Some(relay) = request.work.relay() {
             let sighting = relay.sighting(stage, None, None);
             self.announce(sighting);
@@ -473,7 +485,7 @@
         self.effects.push(Effect::AnnounceStream(sighting));
     }
 
-    /// Gives the caller the last step of a relayed answer.
+    /// Completes a relayed request: ends the caller's response with the effect that `last` creates.
     fn complete(
         &mut self,
         key: request::Key,
@@ -500,7 +512,7 @@
                 .answered(request.progress.position, relay.max_answer_tokens);
         }
         self.log_step(&request, effect::Step::Answered, Some(upstream));
-        self.announce_over(&request, sighting::Stage::Ended);
+        self.announce_end(&request, sighting::Stage::Ended);
         self.effects.push(last(request.caller));
         self.dispatch_queued(request.service.pool());
     }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,10 +1,10 @@
-//! Tokens and answers: what is accepted from upstreams and given to callers.
+//! Tokens and answers that upstreams send and callers receive.
 
 use super::*;
 
 impl Core {
-    /// The caller's connection is closed. A stream that has begun is left to the engine for a
-    /// while, since its caller may come back with a cursor.
+    /// Handles the end of a caller's connection. The stream of a generation that has begun is not
+    /// cancelled: the engine keeps it for a while, since its caller may resume it with a cursor.
     pub(crate) fn handle_caller_gone(&mut self, caller: request::Caller) {
         self.deferred
             .retain(|deferred| deferred.submission.caller != caller);
@@ -24,12 +24,12 @@
         }
         if let Some(request) = self.remove(key) {
             self.log_step(&request, effect::Step::Left, None);
-            self.announce_over(&request, sighting::Stage::Left);
+            self.announce_end(&request, sighting::Stage::Left);
             self.dispatch_queued(request.service.pool());
         }
     }
 
-    /// A generation's stream ended as it should.
+    /// Handles the normal end of a generation's stream.
     pub(crate) fn handle_finished(&mut self, key: attempt::Key, position: u32, reason: String) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
@@ -37,8 +37,8 @@
         };
         let (owner, attempt_upstream) = (attempt.request, attempt.upstream);
         let request = &self.requests[owner];
-        let foreign = request.skip == position && request.digest != request.skip_digest;
-        if position != request.position() || request.skip > position || foreign {
+        let is_mismatch = request.skip == position && request.digest != request.skip_digest;
+        if position != request.position() || request.skip > position || is_mismatch {
             self.count(Counter::FrameGap);
             self.abandon(key, counter::Reason::Gap);
             return;
@@ -62,7 +62,7 @@
         self.dispatch_queued(request.service.pool());
     }
 
-    /// A plain service answered.
+    /// Handles the response of a unary service.
     pub(crate) fn handle_reply(&mut self, key: attempt::Key, status: u16, body: Vec<u8>) {
         let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
@@ -88,12 +88,13 @@
         self.dispatch_queued(request.service.pool());
     }
 
-    /// Tokens arrived on a stream, the first of them at `position` of the whole answer.
+    /// Handles tokens of a stream, the first of which is at `position` in the whole answer. Tokens that
+    /// were delivered before are dropped; a gap or a mismatch abandons the attempt.
     pub(crate) fn handle_tokens(
         &mut self,
         key: attempt::Key,
         position: u32,
-        mut pieces: Vec<OutputToken>,
+        mut tokens: Vec<OutputToken>,
     ) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
@@ -103,8 +104,8 @@
         let upstream = self.upstreams[attempt.upstream].life.id;
         let request = &self.requests[owner];
         let next = request.position();
-        let repeated = pieces.len().min(next.saturating_sub(position) as usize);
-        if position > next || !matches_delivered(&request.delivered, position, &pieces[..repeated])
+        let repeated = tokens.len().min(next.saturating_sub(position) as usize);
+        if position > next || !matches_delivered(&request.delivered, position, &tokens[..repeated])
         {
             self.count(Counter::FrameGap);
             self.abandon(key, counter::Reason::Gap);
@@ -114,10 +115,10 @@
             let count = repeated as u64;
             self.effects
                 .push(Effect::Count(Counter::FrameRepeated, count));
-            pieces.drain(..repeated);
+            tokens.drain(..repeated);
         }
         self.record_activity(key);
-        if pieces.is_empty() {
+        if tokens.is_empty() {
             return;
         }
         if self.requests[owner].attempts.len() > 1 {
@@ -127,56 +128,56 @@
                 }
             }
         }
-        let current = self.requests[owner].attempts == [key];
-        if !self.check_invariant(current, Invariant::SameGeneration) {
+        let is_only_attempt = self.requests[owner].attempts == [key];
+        if !self.check_invariant(is_only_attempt, Invariant::SameGeneration) {
             self.fail(owner, Kind::Internal);
             return;
         }
-        self.deliver(owner, number, upstream, pieces);
+        self.deliver(owner, number, upstream, tokens);
     }
 
-    /// Adds tokens to a request and gives the caller those that it does not have.
+    /// Adds tokens to a request and sends the caller those that it does not have.
     fn deliver(
         &mut self,
         key: request::Key,
         number: u32,
         upstream: u64,
-        mut pieces: Vec<OutputToken>,
+        mut tokens: Vec<OutputToken>,
     ) {
         let request = &mut self.requests[key];
         let first = request.position();
-        for piece in &pieces {
+        for token in &tokens {
             if request.position() == request.skip && request.digest != request.skip_digest {
                 self.fail(key, Kind::CannotResume);
                 return;
             }
-            request.delivered.push(piece.id);
-            request.digest = request.digest.push(piece.id);
+            request.delivered.push(token.id);
+            request.digest = request.digest.push(token.id);
         }
         if request.position() <= request.skip {
             return;
         }
         let known = request.skip.saturating_sub(first);
-        pieces.drain(..known as usize);
+        tokens.drain(..known as usize);
         let position = first + known;
         let cursor = request.cursor(number, upstream);
         let caller = request.caller;
-        let contiguous = position as usize + pieces.len() == request.delivered.len();
-        if !self.check_invariant(contiguous, Invariant::ContiguousTokens) {
+        let is_contiguous = position as usize + tokens.len() == request.delivered.len();
+        if !self.check_invariant(is_contiguous, Invariant::ContiguousTokens) {
             self.fail(key, Kind::Internal);
             return;
         }
         self.effects
-            .push(Effect::Count(Counter::Tokens, pieces.len() as u64));
+            .push(Effect::Count(Counter::Tokens, tokens.len() as u64));
         self.effects.push(Effect::Deliver {
             caller,
             cursor: cursor.encode(&self.secret),
-            tokens: pieces,
             position,
+            tokens,
         });
     }
 
-    /// Notes that something came from the upstream of an attempt.
+    /// Records that data arrived from the upstream of an attempt.
     pub(crate) fn record_activity(&mut self, key: attempt::Key) {
         let attempt = &mut self.attempts[key];
         let upstream = &mut self.upstreams[attempt.upstream];
@@ -193,10 +194,10 @@
     }
 }
 
-/// Whether `pieces` at `position` are the tokens that were delivered there.
-fn matches_delivered(delivered: &[u32], position: u32, pieces: &[OutputToken]) -> bool {
+/// Whether `tokens` equal the tokens that were delivered at `position`.
+fn matches_delivered(delivered: &[u32], position: u32, tokens: &[OutputToken]) -> bool {
     delivered[(position as usize).min(delivered.len())..]
         .iter()
-        .zip(pieces)
-        .all(|(token, piece)| *token == piece.id)
+        .zip(tokens)
+        .all(|(id, token)| *id == token.id)
 }
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -1,4 +1,4 @@
-//! Behaviours of the core, one event at a time.
+//! Unit tests of the core, driven by single events.
 
 use {
     googletest::prelude::*,
@@ -22,11 +22,11 @@
 
 const NOW: Time = Time(1_800_000_000_000);
 
-/// A core with one service, and what it was told.
+/// A core, its clock and the effects it has returned.
 struct Test {
     core: Core,
     effects: Vec<Effect>,
-    next: u64,
+    last_caller: u64,
     now: Time,
 }
 
@@ -34,19 +34,19 @@
     /// A core with a configuration and `upstreams` upstreams of eight slots.
     fn new(settings: Settings, upstreams: usize) -> Self {
         let mut test = Self::without_configuration(settings);
-        test.tell(Event::Config(Arc::new(configuration(1))));
-        test.list(upstreams, None);
+        test.handle(Event::Config(Arc::new(configuration(1))));
+        test.apply_list(upstreams, None);
         test
     }
 
-    /// A core that streams a generation which may run once; its first attempt has yielded a token.
-    fn drafting() -> (Self, attempt::Key) {
+    /// A core that streams a non-repeatable generation, whose first attempt has yielded one token.
+    fn with_non_repeatable_stream() -> (Self, attempt::Key) {
         let mut test = Self::new(Settings::default(), 2);
         let key = (u128::from(NOW.0) << 80) | (7 << 76) | (2 << 62);
-        test.ask_of("mill", "draft", Some(key));
-        test.claim();
+        test.submit_to("mill", "draft", Some(key));
+        test.confirm_claim();
         let first = test.attempts()[0];
-        test.token(first, 0, 7);
+        test.send_token(first, 0, 7);
         (test, first)
     }
 
@@ -54,50 +54,50 @@
         Self {
             core: Core::new(settings, [0; 32], 1, NOW),
             effects: Vec::new(),
-            next: 0,
+            last_caller: 0,
             now: NOW,
         }
     }
 
-    /// Asks for a generation that may run again.
-    fn ask(&mut self, customer: &str) -> Caller {
-        self.ask_of(customer, "summary", None)
+    /// Submits a repeatable generation.
+    fn submit(&mut self, customer: &str) -> Caller {
+        self.submit_to(customer, "summary", None)
     }
 
-    fn ask_of(&mut self, customer: &str, service: &str, key: Option<u128>) -> Caller {
-        self.next += 1;
-        let caller = Caller(self.next);
-        self.tell(Event::Submit(Box::new(Submission {
+    fn submit_to(&mut self, customer: &str, service: &str, key: Option<u128>) -> Caller {
+        self.last_caller += 1;
+        let caller = Caller(self.last_caller);
+        self.handle(Event::Submit(Box::new(Submission {
             caller,
             cursor: None,
             customer: customer.into(),
-            fingerprint: self.next,
-            generation: key.unwrap_or(u128::from(self.next)),
+            fingerprint: self.last_caller,
+            generation: key.unwrap_or(u128::from(self.last_caller)),
             key,
             received: None,
             service: service.into(),
             work: Work::Generate {
                 max_tokens: 100,
                 payload: Arc::from(&b"{}"[..]),
-                prefix: self.next,
+                prefix: self.last_caller,
             },
         })));
         caller
     }
 
-    /// Settles the claim that was asked for last as this request's.
-    fn claim(&mut self) {
+    /// Confirms the last claim that was requested.
+    fn confirm_claim(&mut self) {
         let claimed = self.effects.iter().rev().find_map(|effect| match effect {
             Effect::Claim { request, .. } => Some(*request),
             _ => None,
         });
-        self.tell(Event::Claimed {
+        self.handle(Event::Claimed {
             outcome: ClaimOutcome::Claimed,
-            request: claimed.expect("a claim was asked for"),
+            request: claimed.expect("a claim was requested"),
         });
     }
 
-    /// Errors given to callers, and whether they say when to come back.
+    /// Errors that callers received, and whether they include a retry-after time.
     fn errors(&self) -> Vec<(Kind, bool)> {
         let error = |effect: &Effect| match effect {
             Effect::Fail {
@@ -110,8 +110,8 @@
         self.effects.iter().filter_map(error).collect()
     }
 
-    /// Has the list read, with one upstream leaving if given.
-    fn list(&mut self, upstreams: usize, leaving: Option<usize>) {
+    /// Applies a list of upstreams, of which `leaving` is draining, and answers the probes that follow.
+    fn apply_list(&mut self, upstreams: usize, leaving: Option<usize>) {
         let listed = (0..upstreams).map(|index| ListEntry {
             address: address(index),
             born: 0,
@@ -123,11 +123,11 @@
             slots: 0,
             version: String::new(),
         });
-        self.tell(Event::List {
+        self.handle(Event::List {
             requested_at: self.now,
             entries: Some(listed.collect()),
         });
-        self.tell(Event::Tick);
+        self.handle(Event::Tick);
         let probes: Vec<Effect> = self.effects.drain(..).collect();
         for probe in probes {
             if let Effect::Probe { upstream, .. } = probe {
@@ -135,8 +135,8 @@
                     slots: 8,
                     ..Load::default()
                 };
-                self.tell(Event::Load { upstream, load });
-                self.tell(Event::Probed {
+                self.handle(Event::Load { upstream, load });
+                self.handle(Event::Probed {
                     alive: true,
                     upstream,
                 });
@@ -153,7 +153,7 @@
         self.effects.iter().filter_map(attempt).collect()
     }
 
-    /// The upstream that a request was sent to last, as the core knows it.
+    /// Key of the upstream that the last request was sent to.
     fn upstream(&self) -> upstream::Key {
         let upstream = self.effects.iter().rev().find_map(|effect| match effect {
             Effect::Send { upstream, .. } => Some(*upstream),
@@ -162,29 +162,29 @@
         upstream.expect("something was sent")
     }
 
-    /// Lets time pass in the steps of a running instance.
-    fn pass(&mut self, millis: u64) {
+    /// Advances the clock with a tick every 10 ms, as in a running instance.
+    fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = self.now.after(10);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
-    /// Gives one token of an attempt.
-    fn token(&mut self, attempt: attempt::Key, position: u32, token: u32) {
+    /// Delivers one token of an attempt.
+    fn send_token(&mut self, attempt: attempt::Key, position: u32, token: u32) {
         let piece = OutputToken {
             text: "a".into(),
             id: token,
         };
-        self.tell(Event::Tokens {
+        self.handle(Event::Tokens {
             attempt,
             tokens: vec![piece],
             position,
         });
     }
 
-    /// Where requests were sent, in order.
-    fn sent(&self) -> Vec<usize> {
+    /// Indices of the upstreams that requests were sent to, in order.
+    fn sent_to(&self) -> Vec<usize> {
         let sent = |effect: &Effect| match effect {
             Effect::Send { address, .. } => Some(usize::from(address.port()) - 1),
             _ => None,
@@ -192,7 +192,7 @@
         self.effects.iter().filter_map(sent).collect()
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.effects.extend(self.core.handle(self.now, event));
     }
 }
@@ -248,41 +248,41 @@
 }
 
 #[gtest]
-fn generation_is_not_sent_to_an_engine_that_asked_for_rest() {
+fn generation_is_not_sent_to_an_engine_in_backoff() {
     let mut test = Test::new(Settings::default(), 1);
-    test.ask("mill");
+    test.submit("mill");
     let (attempt, upstream) = (test.attempts()[0], test.upstream());
     let rest = Rest::For(3_000);
     let notice = Notice {
         rest,
         ..Notice::default()
     };
-    test.tell(Event::NoticeReceived {
+    test.handle(Event::NoticeReceived {
         attempt,
         notice,
         upstream,
     });
-    test.ask("mill");
-    expect_that!(test.sent().len(), eq(1));
+    test.submit("mill");
+    expect_that!(test.sent_to().len(), eq(1));
     expect_that!(test.errors(), elements_are![eq(&(Kind::Overloaded, true))]);
     test.now = test.now.after(3_400);
     test.effects.clear();
-    test.list(1, None);
-    test.ask("mill");
-    expect_that!(test.sent().len(), eq(1));
+    test.apply_list(1, None);
+    test.submit("mill");
+    expect_that!(test.sent_to().len(), eq(1));
 }
 
 #[gtest]
-fn without_configuration_nothing_is_taken() {
+fn request_is_refused_without_configuration() {
     let mut test = Test::without_configuration(Settings::default());
-    test.ask("mill");
+    test.submit("mill");
     expect_that!(test.errors(), elements_are![eq(&(Kind::NotReady, true))]);
 }
 
 #[gtest]
 fn unknown_customer_is_refused() {
     let mut test = Test::new(Settings::default(), 1);
-    test.ask("stranger");
+    test.submit("stranger");
     expect_that!(
         test.errors(),
         elements_are![eq(&(Kind::Unauthorized, false))]
@@ -290,17 +290,17 @@
 }
 
 #[gtest]
-fn without_upstream_a_request_is_refused_at_once() {
+fn request_is_refused_immediately_without_upstreams() {
     let mut test = Test::new(Settings::default(), 0);
-    test.ask("mill");
+    test.submit("mill");
     expect_that!(test.errors(), elements_are![eq(&(Kind::NoUpstream, true))]);
 }
 
 #[gtest]
-fn customer_beyond_its_limit_is_told_when_to_come_back() {
+fn customer_over_its_limit_receives_a_retry_after_time() {
     let mut test = Test::new(Settings::default(), 1);
     for _ in 0..3 {
-        test.ask("small");
+        test.submit("small");
     }
     expect_that!(
         test.errors(),
@@ -309,94 +309,94 @@
 }
 
 #[gtest]
-fn limit_is_freed_when_a_caller_goes_away() {
+fn limit_is_released_when_a_caller_disconnects() {
     let mut test = Test::new(Settings::default(), 1);
-    let first = test.ask("small");
-    test.ask("small");
-    test.tell(Event::CallerGone(first));
-    test.ask("small");
+    let first = test.submit("small");
+    test.submit("small");
+    test.handle(Event::CallerGone(first));
+    test.submit("small");
     expect_that!(test.errors(), is_empty());
 }
 
 #[gtest]
-fn memory_beyond_the_limit_is_refused() {
+fn request_over_the_memory_limit_is_refused() {
     let settings = Settings {
         held_bytes_max: 1_000,
         ..Settings::default()
     };
     let mut test = Test::new(settings, 1);
     for _ in 0..3 {
-        test.ask("mill");
+        test.submit("mill");
     }
     expect_that!(test.errors(), elements_are![eq(&(Kind::Overloaded, true))]);
 }
 
 #[gtest]
-fn request_that_would_wait_too_long_is_refused_at_once() {
+fn request_with_too_long_an_expected_wait_is_refused_immediately() {
     let mut test = Test::new(Settings::default(), 1);
     for _ in 0..40 {
-        test.ask("mill");
+        test.submit("mill");
     }
-    expect_that!(test.sent().len(), eq(8));
+    expect_that!(test.sent_to().len(), eq(8));
     expect_that!(test.errors(), not(is_empty()));
     expect_that!(test.errors(), each(eq(&(Kind::Overloaded, true))));
 }
 
 #[gtest]
-fn lower_revision_is_not_taken() {
+fn lower_configuration_revision_is_ignored() {
     let mut test = Test::new(Settings::default(), 1);
-    test.tell(Event::Config(Arc::new(configuration(5))));
-    test.tell(Event::Config(Arc::new(configuration(4))));
+    test.handle(Event::Config(Arc::new(configuration(5))));
+    test.handle(Event::Config(Arc::new(configuration(4))));
     expect_that!(test.core.revision(), some(eq(5)));
 }
 
 #[gtest]
-fn leaving_upstream_gets_no_new_work() {
+fn leaving_upstream_receives_no_new_requests() {
     let mut test = Test::new(Settings::default(), 2);
-    test.list(2, Some(0));
+    test.apply_list(2, Some(0));
     for _ in 0..8 {
-        test.ask("mill");
+        test.submit("mill");
     }
-    expect_that!(test.sent(), each(eq(&1)));
+    expect_that!(test.sent_to(), each(eq(&1)));
 }
 
 #[gtest]
-fn word_of_a_peer_that_an_upstream_leaves_counts_at_once() {
+fn leaving_notice_of_a_peer_applies_immediately() {
     let mut test = Test::new(Settings::default(), 2);
-    test.tell(Event::Leaving("runner-1".into()));
+    test.handle(Event::Leaving("runner-1".into()));
     for _ in 0..8 {
-        test.ask("mill");
+        test.submit("mill");
     }
-    expect_that!(test.sent(), each(eq(&0)));
+    expect_that!(test.sent_to(), each(eq(&0)));
 }
 
 #[gtest]
-fn subset_bounds_the_upstreams_that_are_used_and_probed() {
+fn subset_limits_the_number_of_upstreams_in_use() {
     let settings = Settings {
         subset: 3,
         ..Settings::default()
     };
     let mut test = Test::new(settings, 20);
     for _ in 0..20 {
-        test.ask("mill");
+        test.submit("mill");
     }
-    let mut used = test.sent();
+    let mut used = test.sent_to();
     used.sort_unstable();
     used.dedup();
     expect_that!(used.len(), le(3));
 }
 
 #[gtest]
-fn lost_stream_goes_on_before_new_work() {
+fn lost_stream_is_resumed_before_queued_requests() {
     let mut test = Test::new(Settings::default(), 2);
-    let first = test.ask("mill");
+    let first = test.submit("mill");
     let attempt = test.attempts()[0];
-    test.token(attempt, 0, 7);
+    test.send_token(attempt, 0, 7);
     for _ in 0..30 {
-        test.ask("mill");
+        test.submit("mill");
     }
     test.effects.clear();
-    test.tell(Event::Failed {
+    test.handle(Event::Failed {
         attempt,
         failure: Failure::Broken,
     });
@@ -415,11 +415,11 @@
 #[gtest]
 fn late_frames_are_dropped_and_counted() {
     let mut test = Test::new(Settings::default(), 1);
-    let caller = test.ask("mill");
+    let caller = test.submit("mill");
     let attempt = test.attempts()[0];
-    test.tell(Event::CallerGone(caller));
+    test.handle(Event::CallerGone(caller));
     test.effects.clear();
-    test.tell(Event::GenerationFinished {
+    test.handle(Event::GenerationFinished {
         attempt,
         position: 100,
         reason: "length".into(),
@@ -433,12 +433,12 @@
 }
 
 #[gtest]
-fn paused_instance_does_not_blame_its_upstreams() {
+fn paused_instance_does_not_count_its_upstreams_as_lost() {
     let mut test = Test::new(Settings::default(), 2);
-    test.ask("mill");
+    test.submit("mill");
     test.effects.clear();
     test.now = test.now.after(60_000 - 1);
-    test.tell(Event::Tick);
+    test.handle(Event::Tick);
     let lost = |effect: &Effect| matches!(effect, Effect::Count(Counter::UpstreamLost, _));
     expect_that!(test.effects.iter().any(lost), eq(false));
     let paused = |effect: &Effect| matches!(effect, Effect::Count(Counter::Paused, 1));
@@ -446,16 +446,16 @@
 }
 
 #[gtest]
-fn silent_stream_is_continued_elsewhere_and_the_first_to_yield_wins() {
+fn stalled_stream_is_hedged_and_the_first_attempt_to_yield_wins() {
     let mut test = Test::new(Settings::default(), 2);
-    test.ask("mill");
+    test.submit("mill");
     let first = test.attempts()[0];
-    test.token(first, 0, 7);
-    test.pass(Settings::default().stall_min_ms + 50);
+    test.send_token(first, 0, 7);
+    test.advance(Settings::default().stall_min_ms + 50);
     let attempts = test.attempts();
     expect_that!(attempts.len(), eq(2));
     test.effects.clear();
-    test.token(attempts[1], 1, 8);
+    test.send_token(attempts[1], 1, 8);
     let cancelled: Vec<attempt::Key> = test
         .effects
         .iter()
@@ -465,19 +465,19 @@
         })
         .collect();
     expect_that!(cancelled, elements_are![eq(&first)]);
-    // What the first says from now on is late.
+    // Tokens of the cancelled attempt arrive too late and are dropped.
     test.effects.clear();
-    test.token(first, 1, 9);
+    test.send_token(first, 1, 9);
     let delivered = |effect: &Effect| matches!(effect, Effect::Deliver { .. });
     expect_that!(test.effects.iter().any(delivered), eq(false));
 }
 
 #[gtest]
-fn load_that_comes_with_tokens_is_believed_at_once() {
+fn piggybacked_load_applies_immediately() {
     let mut test = Test::new(Settings::default(), 2);
-    test.ask("mill");
-    let (first, busy) = (test.attempts()[0], test.sent()[0]);
-    test.tell(Event::PiggybackedLoad {
+    test.submit("mill");
+    let (first, busy) = (test.attempts()[0], test.sent_to()[0]);
+    test.handle(Event::PiggybackedLoad {
         attempt: first,
         load: Load {
             running: 8,
@@ -487,60 +487,60 @@
     });
     test.effects.clear();
     for _ in 0..4 {
-        test.ask("mill");
+        test.submit("mill");
     }
-    expect_that!(test.sent(), each(not(eq(&busy))));
+    expect_that!(test.sent_to(), each(not(eq(&busy))));
 }
 
 #[gtest]
-fn woken_instance_sends_nothing_before_it_has_read_the_list_again() {
+fn resumed_instance_sends_nothing_before_it_has_read_the_list_again() {
     let mut test = Test::new(Settings::default(), 1);
     let asked = test.now;
     test.now = test.now.after(5_000);
-    test.ask("mill");
-    // An answer that was on its way before the pause says nothing new.
-    test.tell(Event::List {
+    test.submit("mill");
+    // The response to a read that started before the pause may be stale.
+    test.handle(Event::List {
         requested_at: asked,
         entries: None,
     });
-    expect_that!(test.sent(), is_empty());
-    test.tell(Event::List {
+    expect_that!(test.sent_to(), is_empty());
+    test.handle(Event::List {
         requested_at: test.now,
         entries: None,
     });
-    test.tell(Event::Tick);
-    expect_that!(test.sent().len(), eq(1));
+    test.handle(Event::Tick);
+    expect_that!(test.sent_to().len(), eq(1));
 }
 
 #[gtest]
-fn long_generation_that_runs_once_is_still_continued_after_its_key_has_aged() {
-    let (mut test, first) = Test::drafting();
+fn non_repeatable_generation_is_continued_after_its_key_has_aged() {
+    let (mut test, first) = Test::with_non_repeatable_stream();
     test.now = test.now.after(2 * Settings::default().key_age_max_ms);
-    test.tell(Event::List {
+    test.handle(Event::List {
         requested_at: test.now,
         entries: None,
     });
     test.effects.clear();
-    test.tell(Event::Failed {
+    test.handle(Event::Failed {
         attempt: first,
         failure: Failure::Broken,
     });
-    test.claim();
+    test.confirm_claim();
     expect_that!(test.errors(), is_empty());
     expect_that!(test.attempts().len(), eq(1));
 }
 
 #[gtest]
-fn continuation_claimed_before_a_long_pause_is_not_sent_after_it() {
-    let (mut test, first) = Test::drafting();
+fn continuation_claimed_before_a_long_pause_is_not_sent_afterwards() {
+    let (mut test, first) = Test::with_non_repeatable_stream();
     test.effects.clear();
-    test.tell(Event::Failed {
+    test.handle(Event::Failed {
         attempt: first,
         failure: Failure::Broken,
     });
     test.now = test.now.after(2 * Settings::default().key_age_max_ms);
-    test.claim();
-    test.tell(Event::List {
+    test.confirm_claim();
+    test.handle(Event::List {
         requested_at: test.now,
         entries: None,
     });
