--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -108,7 +108,8 @@
     }
 
     /// Time until which a request may be deferred: a fraction of its caller's timeout, in which the
-    /// store may become available. `None` if the caller has no timeout or the memory limit is reached.
+    /// store may become available. `None` if the caller has no timeout or the memory limit is
+    /// reached.
     fn defer_until(&self, submission: &event::Submission) -> Option<Time> {
         let timeout_ms = submission.work.relay()?.timeout_ms?;
         let wait = (timeout_ms as f64 * self.settings.room.early) as u64;
@@ -316,8 +317,8 @@
         Ok((customer, share.service.clone()))
     }
 
-    /// Expected queueing time of a new request, in milliseconds: from the recent service rate of its
-    /// priority, or else from the mean request duration and the number of slots.
+    /// Expected queueing time of a new request, in milliseconds: from the recent service rate of
+    /// its priority, or else from the mean request duration and the number of slots.
     fn expected_wait(&self, pool: &str, priority: Priority, customer: &config::Customer) -> u64 {
         let Some(pool) = self.pools.get(pool) else {
             return 0;
@@ -350,8 +351,8 @@
         })
     }
 
-    /// How long a caller had already waited before this request, in milliseconds, estimated from its
-    /// remaining timeout and the timeouts of other callers.
+    /// How long a caller had already waited before this request, in milliseconds, estimated from
+    /// its remaining timeout and the timeouts of other callers.
     fn waited_ms(&mut self, service: &config::Service, timeout_ms: Option<u64>) -> u64 {
         let Some(timeout_ms) = timeout_ms else {
             return 0;
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -244,8 +244,8 @@
         self
     }
 
-    /// Makes the instance wait for [`Event::StreamsRestored`] before it resumes streams: those stored
-    /// before its start are yet to be reported.
+    /// Makes the instance wait for [`Event::StreamsRestored`] before it resumes streams: those
+    /// stored before its start are yet to be reported.
     #[must_use]
     pub fn restoring_streams(mut self) -> Self {
         self.streams_restored = false;
@@ -263,7 +263,8 @@
         self.check_invariant(after >= current, Invariant::NeverReverts);
     }
 
-    /// Returns `holds`. A violated invariant is counted, and panics if debug assertions are enabled.
+    /// Returns `holds`. A violated invariant is counted, and panics if debug assertions are
+    /// enabled.
     pub(crate) fn check_invariant(&mut self, holds: bool, invariant: Invariant) -> bool {
         if !holds {
             self.count(Counter::Invariant(invariant));
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Whether a claim that was just settled is certain to be still stored: a caller's key must not be
-    /// too old, and a continuation's claim must have been requested within the retention period.
+    /// Whether a claim that was just settled is certain to be still stored: a caller's key must not
+    /// be too old, and a continuation's claim must have been requested within the retention period.
     fn is_claim_valid(&self, key: request::Key, claim: &Claim) -> bool {
         let request = &self.requests[key];
         if !request.may_have_run {
@@ -200,8 +200,8 @@
         true
     }
 
-    /// Attaches to a continuation that another instance claimed. The continuation is never started a
-    /// second time.
+    /// Attaches to a continuation that another instance claimed. The continuation is never started
+    /// a second time.
     fn follow_peer(&mut self, key: request::Key, upstream: u64) {
         let request = &mut self.requests[key];
         request.claim = None;
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -1,5 +1,5 @@
-//! Recovery from failed attempts: a retry, a continuation, or an error that states correctly whether
-//! the request may have run.
+//! Recovery from failed attempts: a retry, a continuation, or an error that states correctly
+//! whether the request may have run.
 
 use super::*;
 
@@ -94,8 +94,9 @@
         Some(attempt)
     }
 
-    /// Fails a request: cancels its attempts and ends the caller's response. A stream that has begun is
-    /// aborted; otherwise a held error response of an upstream is forwarded in preference to `kind`.
+    /// Fails a request: cancels its attempts and ends the caller's response. A stream that has
+    /// begun is aborted; otherwise a held error response of an upstream is forwarded in preference
+    /// to `kind`.
     pub(crate) fn fail(&mut self, key: request::Key, kind: Kind) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -193,9 +194,9 @@
         }
     }
 
-    /// Whether a request may be retried. Requests that no upstream accepted need no permit: each failed
-    /// upstream is hit once, so their retries add no load to the others. All others take a permit from
-    /// the retry budget.
+    /// Whether a request may be retried. Requests that no upstream accepted need no permit: each
+    /// failed upstream is hit once, so their retries add no load to the others. All others take a
+    /// permit from the retry budget.
     pub(crate) fn may_retry(&mut self, key: request::Key, reason: counter::Reason) -> bool {
         if self.settings.shared.unsent && reason.never_taken_in() {
             return true;
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,16 +1,16 @@
 //! Requests and responses that are forwarded unchanged, and failover when an upstream is lost.
 //!
-//! The edge holds requests, response heads and complete responses; the core only tracks the positions
-//! of events.
+//! The edge holds requests, response heads and complete responses; the core only tracks the
+//! positions of events.
 
 use super::*;
 
-/// Multiple of the usual interval between events after which a stream counts as stalled. Busy engines
-/// deliver some events late by twice that interval.
+/// Multiple of the usual interval between events after which a stream counts as stalled. Busy
+/// engines deliver some events late by twice that interval.
 const STALL_INTERVALS: u64 = 3;
 
-/// How long an upstream counts as full after it refused a request, in milliseconds; equals some tens
-/// of engine steps.
+/// How long an upstream counts as full after it refused a request, in milliseconds; equals some
+/// tens of engine steps.
 const FULL_MS: u64 = 250;
 
 impl Core {
@@ -43,17 +43,18 @@
         self.complete(owner, attempt.upstream, Effect::ForwardResponse);
     }
 
-    /// Whether a request that an upstream answered with an error may be retried. A request that is the
-    /// cause of its error fails at every upstream, and while a service is near capacity the retry would
-    /// displace a call that can still meet its deadline.
+    /// Whether a request that an upstream answered with an error may be retried. A request that is
+    /// the cause of its error fails at every upstream, and while a service is near capacity the
+    /// retry would displace a call that can still meet its deadline.
     fn may_retry_error(&self, key: request::Key) -> bool {
         let request = &self.requests[key];
         let displaces_calls = !request.service.streams() && self.is_full(request.service.pool());
         request.service.repeatable && (self.settings.calls.second || !displaces_calls)
     }
 
-    /// Handles a relayed stream that ended without an error. An end without an end marker is accepted
-    /// once a second upstream, asked to continue after the last event, sends no more events either.
+    /// Handles a relayed stream that ended without an error. An end without an end marker is
+    /// accepted once a second upstream, asked to continue after the last event, sends no more
+    /// events either.
     pub(crate) fn handle_stream_end(&mut self, key: attempt::Key, marked: bool) {
         let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
@@ -77,7 +78,8 @@
         self.complete(attempt.request, attempt.upstream, Effect::EndStream);
     }
 
-    /// Handles the start of a relayed stream. Only the first response head is forwarded to the caller.
+    /// Handles the start of a relayed stream. Only the first response head is forwarded to the
+    /// caller.
     pub(crate) fn handle_stream_opened(&mut self, key: attempt::Key) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
@@ -199,8 +201,8 @@
     }
 
     /// Initial progress of a relayed request. A request that resumes a stream starts after the last
-    /// event that its caller received, from the KV copy or the upstream that another instance reported
-    /// for the stream.
+    /// event that its caller received, from the KV copy or the upstream that another instance
+    /// reported for the stream.
     pub(crate) fn initial_progress(&self, relay: &request::Relay) -> request::RelayProgress {
         let mut progress = request::RelayProgress {
             position: relay.position,
@@ -238,8 +240,8 @@
         request.progress.copy = copy.map(|(upstream, run)| request::KvCopy { run, upstream });
     }
 
-    /// Chooses the upstream that keeps a copy of a stream's KV cache, and announces the stream to other
-    /// instances.
+    /// Chooses the upstream that keeps a copy of a stream's KV cache, and announces the stream to
+    /// other instances.
     pub(crate) fn prepare_relay(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let (owner, upstream) = (attempt.request, attempt.upstream);
@@ -378,8 +380,8 @@
         self.effects.push(entry);
     }
 
-    /// Abandons the relayed attempts of an upstream that have been silent for too long. If one stream
-    /// is silent and the upstream sends nothing else either, all its streams count as lost.
+    /// Abandons the relayed attempts of an upstream that have been silent for too long. If one
+    /// stream is silent and the upstream sends nothing else either, all its streams count as lost.
     pub(crate) fn check_relay_stalls(&mut self, key: upstream::Key) {
         let silent = self.now.since(self.upstreams[key].heard) > self.settings.relay_stall_ms;
         for attempt_key in self.upstreams[key].attempts.clone() {
@@ -400,7 +402,8 @@
                     && has_upstreams_left
                     && silence > self.settings.relay_call_ms
             };
-            // Without capacity elsewhere, a slow prefill would not finish sooner on another upstream.
+            // Without capacity elsewhere, a slow prefill would not finish sooner on another
+            // upstream.
             let slow = relay.streams && !attempt.started && attempt.copy.is_none() && !suspected;
             if lost && !(slow && self.lacks_room(request)) {
                 if silent {
@@ -413,8 +416,8 @@
         }
     }
 
-    /// Time without events after which a stream counts as stalled, in milliseconds. Before the first
-    /// event it includes the prefill, unless the whole upstream is `suspected`.
+    /// Time without events after which a stream counts as stalled, in milliseconds. Before the
+    /// first event it includes the prefill, unless the whole upstream is `suspected`.
     fn stall_timeout_ms(&self, attempt: &Attempt, relay: &config::Relay, suspected: bool) -> u64 {
         if attempt.started {
             let request = &self.requests[attempt.request];
@@ -438,8 +441,8 @@
         self.doubt(key);
     }
 
-    /// Records the loss of an upstream as reported by another instance. The cause may be that instance's
-    /// own network link, so the report counts as a single failure.
+    /// Records the loss of an upstream as reported by another instance. The cause may be that
+    /// instance's own network link, so the report counts as a single failure.
     pub(crate) fn record_peer_loss(&mut self, life: Life) {
         if let Some(key) = self.lives.get(&life) {
             self.upstreams[*key].trouble.add(self.now);
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -88,8 +88,8 @@
         self.dispatch_queued(request.service.pool());
     }
 
-    /// Handles tokens of a stream, the first of which is at `position` in the whole answer. Tokens that
-    /// were delivered before are dropped; a gap or a mismatch abandons the attempt.
+    /// Handles tokens of a stream, the first of which is at `position` in the whole answer. Tokens
+    /// that were delivered before are dropped; a gap or a mismatch abandons the attempt.
     pub(crate) fn handle_tokens(
         &mut self,
         key: attempt::Key,
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -110,7 +110,8 @@
         self.effects.iter().filter_map(error).collect()
     }
 
-    /// Applies a list of upstreams, of which `leaving` is draining, and answers the probes that follow.
+    /// Applies a list of upstreams, of which `leaving` is draining, and answers the probes that
+    /// follow.
     fn apply_list(&mut self, upstreams: usize, leaving: Option<usize>) {
         let listed = (0..upstreams).map(|index| ListEntry {
             address: address(index),
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! Requests that are passed on as they are: what the caller gets, and what follows a loss.
+//! Tests of relayed requests: what the caller receives, and failover when an upstream is lost.
 
 use {
     googletest::prelude::*,
@@ -37,7 +37,7 @@
 use builder::*;
 
 #[gtest]
-fn events_go_to_the_caller_as_they_come() {
+fn events_are_forwarded_in_order() {
     let mut test = Test::new(6);
     let sent = test.stream(3);
     test.close(&sent, true);
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn end_without_a_mark_is_believed_when_a_second_upstream_has_nothing_more() {
+fn unmarked_end_is_accepted_when_a_second_upstream_sends_no_more_events() {
     let mut test = Test::new(6);
     let first = test.stream(3);
     test.close(&first, false);
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn stream_lost_between_two_events_goes_on_though_its_end_looked_well() {
+fn stream_with_unmarked_end_is_resumed_when_a_second_upstream_sends_more_events() {
     let mut test = Test::new(6);
     let first = test.stream(3);
     test.close(&first, false);
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn copy_is_kept_in_another_data_centre() {
+fn kv_copy_is_kept_in_another_data_centre() {
     for _ in 0..20 {
         let mut test = Test::new(9);
         let sent = test.stream(0);
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn lost_stream_goes_on_from_its_copy_behind_the_last_event() {
+fn lost_stream_is_resumed_from_its_copy_after_the_last_event() {
     let mut test = Test::new(6);
     let sent = test.stream(3);
     test.fail(&sent, Failure::Broken);
@@ -95,7 +95,7 @@
 }
 
 #[gtest]
-fn baseline_that_reads_anew_keeps_no_copy() {
+fn baseline_that_resumes_with_a_new_prefill_keeps_no_copy() {
     let mut test = Test::with(Resume::Anew).configured(9);
     let first = test.stream(3);
     expect_that!(first.backup, none());
@@ -105,7 +105,7 @@
 }
 
 #[gtest]
-fn baseline_that_does_not_resume_cuts_a_lost_stream() {
+fn baseline_that_does_not_resume_aborts_a_lost_stream() {
     let mut test = Test::with(Resume::None).configured(9);
     let first = test.stream(3);
     test.fail(&first, Failure::Broken);
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn head_of_a_resumed_stream_is_not_given_again() {
+fn response_head_of_a_resumed_stream_is_not_forwarded_again() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.fail(&sent, Failure::Broken);
@@ -139,7 +139,7 @@
 }
 
 #[gtest]
-fn without_a_copy_the_stream_is_read_anew_elsewhere() {
+fn stream_without_a_copy_is_resumed_with_a_new_prefill_on_another_upstream() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.fail(&sent, Failure::Broken);
@@ -162,7 +162,7 @@
 }
 
 #[gtest]
-fn stream_that_skips_an_event_goes_on_elsewhere() {
+fn stream_that_skips_an_event_is_resumed_on_another_upstream() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.pass_on(&sent, 4);
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn events_of_an_attempt_that_is_over_are_dropped() {
+fn events_of_an_ended_attempt_are_dropped() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.fail(&sent, Failure::Broken);
@@ -181,7 +181,7 @@
 }
 
 #[gtest]
-fn silent_stream_goes_on_elsewhere_after_the_old_one_is_cancelled() {
+fn stalled_stream_is_resumed_after_the_old_attempt_is_cancelled() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.effects.clear();
@@ -198,7 +198,7 @@
 }
 
 #[gtest]
-fn stream_that_waits_for_its_first_event_is_left_alone() {
+fn stream_is_not_abandoned_during_prefill() {
     let mut test = Test::new(6);
     test.stream(0);
     test.pass(5_000);
@@ -206,7 +206,7 @@
 }
 
 #[gtest]
-fn stream_whose_first_event_does_not_come_goes_elsewhere_in_time() {
+fn stream_without_a_first_event_is_retried_after_the_first_event_timeout() {
     let mut test = Test::new(6);
     let first = test.stream(0);
     test.pass(5_500);
@@ -216,7 +216,7 @@
 }
 
 #[gtest]
-fn stream_that_does_not_go_on_from_its_copy_goes_elsewhere_soon() {
+fn stream_that_stalls_on_its_copy_is_retried_after_the_copy_timeout() {
     let mut test = Test::new(6);
     let first = test.stream(3);
     test.fail(&first, Failure::Broken);
@@ -228,7 +228,7 @@
 }
 
 #[gtest]
-fn streams_of_a_silent_upstream_are_lost_together() {
+fn all_streams_of_a_silent_upstream_are_lost_together() {
     let mut test = Test::new(1);
     let running = test.stream(2);
     let waiting = test.stream(0);
@@ -239,7 +239,7 @@
 }
 
 #[gtest]
-fn stream_that_can_not_go_on_is_cut() {
+fn stream_that_exhausts_its_attempts_is_aborted() {
     let mut test = Test::new(6);
     let mut sent = test.stream(2);
     for _ in 0..5 {
@@ -251,7 +251,7 @@
 }
 
 #[gtest]
-fn failed_call_that_may_repeat_goes_to_another_upstream() {
+fn failed_repeatable_call_is_retried_on_another_upstream() {
     let mut test = Test::new(6);
     test.ask(AGAIN);
     let first = test.last();
@@ -263,7 +263,7 @@
 }
 
 #[gtest]
-fn last_failure_is_given_when_attempts_are_used_up() {
+fn last_error_response_is_forwarded_when_attempts_are_exhausted() {
     let mut test = Test::new(6);
     test.ask(AGAIN);
     for _ in 0..2 {
@@ -275,7 +275,7 @@
 }
 
 #[gtest]
-fn held_failure_is_given_when_the_second_upstream_is_lost() {
+fn held_error_response_is_forwarded_when_the_second_upstream_is_lost() {
     let mut test = Test::new(6);
     test.ask(AGAIN);
     let first = test.last();
@@ -286,7 +286,7 @@
 }
 
 #[gtest]
-fn silent_call_that_may_repeat_goes_to_another_upstream() {
+fn silent_repeatable_call_is_retried_on_another_upstream() {
     let mut test = Test::new(6);
     test.ask(AGAIN);
     test.pass(400);
@@ -294,7 +294,7 @@
 }
 
 #[gtest]
-fn call_that_may_run_once_is_not_sent_again_after_it_may_have_run() {
+fn non_repeatable_call_is_not_retried_after_it_may_have_run() {
     let mut test = Test::new(6);
     test.ask(ONCE);
     let sent = test.last();
@@ -305,7 +305,7 @@
 }
 
 #[gtest]
-fn failure_of_a_call_that_may_run_once_is_its_answer() {
+fn error_response_to_a_non_repeatable_call_is_forwarded() {
     let mut test = Test::new(6);
     test.ask(ONCE);
     let sent = test.last();
@@ -315,7 +315,7 @@
 }
 
 #[gtest]
-fn call_that_surely_did_not_run_goes_to_another_upstream() {
+fn call_that_was_not_executed_is_retried_on_another_upstream() {
     for failure in [Failure::NotSent, Failure::Refused, Failure::Replaced] {
         let mut test = Test::new(6);
         test.ask(ONCE);
@@ -327,7 +327,7 @@
 }
 
 #[gtest]
-fn call_refused_everywhere_did_not_run() {
+fn call_refused_by_all_upstreams_fails_as_not_executed() {
     let mut test = Test::new(2);
     test.ask(ONCE);
     for _ in 0..8 {
@@ -341,7 +341,7 @@
 }
 
 #[gtest]
-fn upstream_with_another_life_at_its_address_gets_nothing_more() {
+fn upstream_replaced_at_its_address_receives_no_more_requests() {
     let mut test = Test::new(2);
     test.ask(ONCE);
     let first = test.last();
@@ -353,7 +353,7 @@
 }
 
 #[gtest]
-fn of_upstreams_at_one_address_the_last_one_entered_gets_work() {
+fn last_registered_upstream_at_an_address_receives_requests() {
     let older = ListEntry {
         since: Position::new(0, 4),
         slots: 0,
@@ -380,7 +380,7 @@
 }
 
 #[gtest]
-fn leaving_upstream_gets_nothing_new() {
+fn leaving_upstream_receives_no_new_requests() {
     let mut test = Test::new(1);
     let leaving = ListEntry {
         leaving: true,
@@ -394,7 +394,7 @@
 }
 
 #[gtest]
-fn leaving_upstream_keeps_what_it_runs() {
+fn leaving_upstream_finishes_its_streams() {
     let mut test = Test::new(1);
     let sent = test.stream(1);
     test.list(vec![ListEntry {
@@ -406,7 +406,7 @@
 }
 
 #[gtest]
-fn data_centre_that_is_being_lost_is_avoided() {
+fn data_centre_with_lost_upstreams_is_avoided() {
     let mut test = Test::new(6);
     for upstream in [0, 1] {
         test.now = test.now.after(5);
@@ -419,7 +419,7 @@
 }
 
 #[gtest]
-fn lost_upstream_is_told_to_other_instances() {
+fn lost_upstream_is_announced_to_other_instances() {
     let mut test = Test::new(6);
     let sent = test.stream(1);
     test.fail(&sent, Failure::Broken);
@@ -431,7 +431,7 @@
 }
 
 #[gtest]
-fn caller_who_comes_back_goes_on_from_the_copy_that_was_told_of() {
+fn reconnecting_caller_resumes_from_the_reported_copy() {
     let mut test = Test::new(6);
     test.tell(Event::StreamReported(sighting(1, 4)));
     test.ask_as("key", STREAM, 9);
@@ -442,7 +442,7 @@
 }
 
 #[gtest]
-fn without_the_copy_the_upstream_that_ran_it_is_asked() {
+fn reconnecting_caller_falls_back_to_the_upstream_that_ran_the_stream() {
     let mut test = Test::new(6);
     test.tell(Event::StreamReported(sighting(1, 4)));
     test.ask_as("key", STREAM, 9);
@@ -454,7 +454,7 @@
 }
 
 #[gtest]
-fn stream_told_of_as_whole_is_not_gone_on_with() {
+fn stream_reported_as_ended_is_not_resumed_from_its_copy() {
     let mut test = Test::new(6);
     test.tell(Event::StreamReported(sighting(1, 4)));
     let ended = Sighting {
@@ -467,7 +467,7 @@
 }
 
 #[gtest]
-fn stream_whose_caller_left_can_still_be_gone_on_with() {
+fn stream_reported_as_left_can_still_be_resumed() {
     let mut test = Test::new(6);
     test.tell(Event::StreamReported(sighting(1, 4)));
     let left = Sighting {
@@ -482,7 +482,7 @@
 }
 
 #[gtest]
-fn other_instances_streams_count_as_load() {
+fn streams_of_other_instances_count_as_load() {
     let mut test = Test::new(2);
     for prompt in 0..4 {
         test.tell(Event::StreamReported(Sighting {
@@ -496,7 +496,7 @@
 }
 
 #[gtest]
-fn prompts_are_spread_over_upstreams() {
+fn prefills_are_spread_over_upstreams() {
     let mut test = Test::new(3);
     for _ in 0..3 {
         test.ask(STREAM);
@@ -507,7 +507,7 @@
 }
 
 #[gtest]
-fn caller_that_leaves_has_its_request_cancelled() {
+fn request_is_cancelled_when_its_caller_disconnects() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.tell(Event::CallerGone(Caller(1)));
@@ -517,7 +517,7 @@
 }
 
 #[gtest]
-fn upstream_is_told_the_time_that_is_left() {
+fn upstream_receives_the_remaining_time() {
     let mut test = Test::new(6);
     test.ask(AGAIN);
     let first = test.last();
@@ -528,7 +528,7 @@
 }
 
 #[gtest]
-fn request_is_answered_at_its_deadline() {
+fn request_times_out_at_its_deadline() {
     let mut test = Test::new(6);
     test.ask(ONCE);
     test.pass(20_100);
@@ -536,7 +536,7 @@
 }
 
 #[gtest]
-fn without_upstream_a_request_waits_for_one_and_is_refused_then() {
+fn request_without_upstreams_is_queued_before_it_is_refused() {
     let mut test = Test::new(0);
     test.ask(ONCE);
     test.pass(500);
@@ -546,7 +546,7 @@
 }
 
 #[gtest]
-fn waiting_request_goes_to_the_first_upstream_that_comes() {
+fn queued_request_is_sent_to_the_first_upstream_that_registers() {
     let mut test = Test::new(0);
     test.ask(ONCE);
     test.list(vec![listed(0, 0)]);
@@ -565,26 +565,26 @@
 }
 
 #[gtest]
-fn public_route_needs_no_key() {
+fn public_route_requires_no_key() {
     let mut test = Test::new(1);
     test.ask_as("", "/open/1", 0);
     expect_that!(test.sent().len(), eq(1));
 }
 
 #[gtest]
-fn without_configuration_a_request_waits_for_one_and_is_asked_to_come_back_then() {
+fn request_without_configuration_is_deferred_before_it_is_refused() {
     let mut test = Test::without_configuration();
     test.ask(ONCE);
     test.pass(2_400);
     expect_that!(test.ends(), is_empty());
     test.pass(200);
     expect_that!(test.ends(), elements_are![eq("not_ready")]);
-    let patience_left = 17_500;
-    expect_that!(test.come_backs(), elements_are![eq(&(patience_left / 8))]);
+    let timeout_left_ms = 17_500;
+    expect_that!(test.come_backs(), elements_are![eq(&(timeout_left_ms / 8))]);
 }
 
 #[gtest]
-fn doubted_upstream_is_tried_again_after_a_while() {
+fn suspected_upstream_is_used_again_after_a_while() {
     let mut test = Test::new(2);
     test.ask(ONCE);
     let first = test.last();
@@ -601,7 +601,7 @@
 }
 
 #[gtest]
-fn retries_of_new_work_have_a_budget() {
+fn retries_are_limited_by_a_budget() {
     let mut test = Test::new(6);
     for _ in 0..60 {
         test.ask(AGAIN);
