--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -66,7 +66,7 @@
             });
             return;
         }
-        self.submit_now(submission);
+        self.admit_or_refuse(submission);
     }
 
     /// Whether this instance has the state to serve a request: a configuration, a list of upstreams
@@ -104,7 +104,7 @@
                 *timeout_ms = timeout_ms.saturating_sub(waited);
             }
         }
-        self.submit_now(submission);
+        self.admit_or_refuse(submission);
     }
 
     /// Time until which a request may be deferred: a fraction of its caller's timeout, in which the
@@ -119,7 +119,7 @@
         (wait > 0 && fits).then(|| self.now.after(wait))
     }
 
-    fn submit_now(&mut self, submission: event::Submission) {
+    fn admit_or_refuse(&mut self, submission: event::Submission) {
         let caller = submission.caller;
         if self.callers.contains_key(&caller) {
             return;
@@ -171,7 +171,7 @@
         if self.is_guilty(print) {
             return Err(Kind::Quarantined.into());
         }
-        self.check_work(&submission, &service)?;
+        self.check_operation(&submission, &service)?;
         self.check_capacity(&customer, &service, &submission)?;
         let mut request = self.build_request(submission, customer, service, print)?;
         self.record_size(&request);
@@ -271,7 +271,7 @@
         })
     }
 
-    fn check_work(
+    fn check_operation(
         &self,
         submission: &event::Submission,
         service: &config::Service,
@@ -413,7 +413,6 @@
         }
         Ok(Request {
             arrived_at: self.now,
-            resume_cursor: cursor,
             attempts: Vec::new(),
             avoided_upstream: None,
             caller: submission.caller,
@@ -425,21 +424,22 @@
             delivered: received,
             digest,
             fingerprint: submission.fingerprint,
+            first_event_due: Time(first_event_due),
+            first_sent_at: None,
             follows_peer: false,
             generation: cursor.map_or(submission.generation, |cursor| cursor.generation),
             held_bytes: 0,
+            last_attempt: cursor.map_or(0, |cursor| cursor.attempt),
             may_have_run: cursor.is_some(),
-            number: cursor.map_or(0, |cursor| cursor.attempt),
-            progress,
             print,
+            progress,
+            resume_cursor: cursor,
             send_by: self.now.after(service.max_wait_ms),
-            sent: None,
             service,
-            waited_ms,
-            first_event_due: Time(first_event_due),
             skip: cursor.map_or(0, |cursor| cursor.position),
             skip_digest: cursor.map_or_else(Digest::default, |cursor| cursor.digest),
             state: State::Queued,
+            waited_ms,
             work: submission.work,
         })
     }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -283,11 +283,11 @@
         step: effect::Step,
         upstream: Option<upstream::Key>,
     ) {
-        let entry = self.step_record(request, step, upstream);
+        let entry = self.log_effect(request, step, upstream);
         self.effects.push(entry);
     }
 
-    pub(crate) fn step_record(
+    pub(crate) fn log_effect(
         &self,
         request: &Request,
         step: effect::Step,
@@ -327,8 +327,8 @@
             if request.counts_as_running {
                 pool.queue.ended(&request.customer);
             }
-            if let Some(sent) = request.sent {
-                let duration = self.now.since(sent) as f64;
+            if let Some(first_sent_at) = request.first_sent_at {
+                let duration = self.now.since(first_sent_at) as f64;
                 pool.mean_duration_ms += DURATION_SMOOTHING * (duration - pool.mean_duration_ms);
             }
         }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -12,7 +12,7 @@
         request.state = State::Queued;
         let pool: Arc<str> = request.service.pool().into();
         let queue = &mut self.pools.entry(pool.clone()).or_default().queue;
-        if request.number > 0 || request.position() > 0 {
+        if request.last_attempt > 0 || request.position() > 0 {
             request.send_by = self.now.after(request.service.max_wait_ms);
             queue.push_resume(key);
         } else {
@@ -137,7 +137,7 @@
             && self.settings.continuation
             && !self.is_suspect(request.print)
             && request.attempts.len() == 1
-            && request.number < self.settings.attempts_max
+            && request.last_attempt < self.settings.attempts_max
             && request.skip <= request.position()
             && matches!(request.work, Work::Generate { .. });
         if !allowed {
@@ -181,12 +181,12 @@
         };
         let request = &mut self.requests[key];
         request.state = State::Running;
-        request.number = number - 1;
+        request.last_attempt = number - 1;
         let position = request.position();
         let generation = request.generation;
         let attempt = self.open_attempt(key, upstream);
         self.attempts[attempt].sent = true;
-        let entry = self.step_record(&self.requests[key], effect::Step::Attached, Some(upstream));
+        let entry = self.log_effect(&self.requests[key], effect::Step::Attached, Some(upstream));
         self.effects.push(entry);
         self.effects.push(Effect::Send {
             address: self.upstreams[upstream].address,
@@ -205,7 +205,7 @@
     fn follow_peer(&mut self, key: request::Key, upstream: u64) {
         let request = &mut self.requests[key];
         request.claim = None;
-        let number = request.number;
+        let number = request.last_attempt;
         for attempt in request.attempts.clone() {
             self.remove_attempt(attempt);
         }
@@ -218,17 +218,17 @@
     /// Creates an attempt at an upstream without sending it.
     fn open_attempt(&mut self, key: request::Key, upstream: upstream::Key) -> attempt::Key {
         let request = &mut self.requests[key];
-        request.number += 1;
+        request.last_attempt += 1;
         let attempt = self.attempts.insert(Attempt {
             ahead_tokens: 0,
             backup: None,
-            first_event_at: None,
             copy: None,
+            created_at: self.now,
+            first_event_at: None,
             last_event_at: self.now,
-            number: request.number,
+            number: request.last_attempt,
             request: key,
             sent: false,
-            created_at: self.now,
             started: false,
             suspected: false,
             upstream,
@@ -256,19 +256,19 @@
             .all(|other| *other == key || !self.attempts[*other].sent);
         let runs_once =
             request.service.repeatable || (is_only_sent && (!request.may_have_run || continues));
-        let (address, leaves) = (upstream.address, upstream.leaves(self.now));
-        let rests = upstream.rests(self.now);
+        let (address, is_leaving) = (upstream.address, upstream.leaves(self.now));
+        let is_in_backoff = upstream.rests(self.now);
         let (number, owner) = (attempt.number, attempt.request);
         let outbound = match request.work {
             Work::Relay(_) => self.relay_outbound(key),
             Work::Call { .. } | Work::Generate { .. } => request.outbound(number, &self.settings),
         };
-        let guilty = self.is_guilty(request.print);
-        let permitted = self.upstreams[upstream_key].spend(self.now);
-        self.check_invariant(permitted, Invariant::NoWorkBeyondLimit);
-        self.check_invariant(!leaves, Invariant::NoWorkWhenLeaving);
-        self.check_invariant(!rests, Invariant::NoWorkWhenResting);
-        if !self.check_invariant(!guilty, Invariant::NoQuarantinedWork) {
+        let is_quarantined = self.is_guilty(request.print);
+        let has_permit = self.upstreams[upstream_key].spend(self.now);
+        self.check_invariant(has_permit, Invariant::NoWorkBeyondLimit);
+        self.check_invariant(!is_leaving, Invariant::NoWorkWhenLeaving);
+        self.check_invariant(!is_in_backoff, Invariant::NoWorkWhenResting);
+        if !self.check_invariant(!is_quarantined, Invariant::NoQuarantinedWork) {
             self.refuse_guilty(owner);
             return;
         }
@@ -278,11 +278,11 @@
         }
         self.attempts[key].sent = true;
         self.attempts[key].last_event_at = self.now;
-        self.requests[owner].sent.get_or_insert(self.now);
+        self.requests[owner].first_sent_at.get_or_insert(self.now);
         self.requests[owner].progress.upstreams_reached += 1;
         let upstream = self.attempts[key].upstream;
         let step = self.sent_step(key);
-        let entry = self.step_record(&self.requests[owner], step, Some(upstream));
+        let entry = self.log_effect(&self.requests[owner], step, Some(upstream));
         self.effects.push(entry);
         self.effects.push(Effect::Send {
             address,
@@ -300,7 +300,9 @@
             backup: backup.map(|upstream| upstream.name.clone()),
             copy: attempt.copy.as_ref().map(|copy| copy.run.clone()),
             left_ms: self.requests[attempt.request].deadline.since(self.now),
-            list_age_ms: self.list_read_at.map_or(0, |listed| self.now.since(listed)),
+            list_age_ms: self
+                .list_read_at
+                .map_or(0, |read_at| self.now.since(read_at)),
         }
     }
 
@@ -331,7 +333,8 @@
         let continues = request.may_have_run && !request.service.repeatable && !relayed;
         if request.claim.is_none() && continues {
             let id = self.upstreams[upstream].life.id;
-            request.claim = Claim::continuation(request.generation, request.number, id, nonce);
+            request.claim =
+                Claim::continuation(request.generation, request.last_attempt, id, nonce);
         }
         if let Some(claim) = request.claim {
             request.claim_requested_at = self.now;
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -171,7 +171,7 @@
             return;
         }
         let repeatable = request.service.repeatable;
-        let exhausted = request.number >= self.settings.attempts_max;
+        let exhausted = request.last_attempt >= self.settings.attempts_max;
         if request.position() > 0 {
             let allowed = repeatable || self.settings.continue_non_repeatable;
             if !self.settings.continuation || exhausted {
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -344,7 +344,7 @@
         let resumes = relay.resumable && self.settings.relay_resume != Resume::None;
         let can_resume = !request.progress.is_open || resumes;
         let has_upstreams_left = request.progress.upstreams_reached < relay.attempts_max.max(1);
-        let has_attempts_left = request.number < self.settings.attempts_max;
+        let has_attempts_left = request.last_attempt < self.settings.attempts_max;
         repeatable
             && can_resume
             && has_upstreams_left
@@ -376,7 +376,7 @@
     pub(crate) fn log_lost(&mut self, attempt: &Attempt, reason: counter::Reason) {
         let request = &self.requests[attempt.request];
         let step = effect::Step::Lost(reason);
-        let entry = self.step_record(request, step, Some(attempt.upstream));
+        let entry = self.log_effect(request, step, Some(attempt.upstream));
         self.effects.push(entry);
     }
 
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -194,16 +194,18 @@
     pub fingerprint: u64,
     /// Time by which the first event of a relayed stream should arrive.
     pub first_event_due: Time,
+    /// When it was first sent.
+    pub first_sent_at: Option<Time>,
     /// Whether it reads a continuation that another instance claimed.
     pub follows_peer: bool,
     /// Identifier of the generation.
     pub generation: u128,
     /// Bytes that count towards the memory limit: the payload and the longest possible answer.
     pub held_bytes: u64,
+    /// Number of the last attempt; 0 before the first.
+    pub last_attempt: u32,
     /// Whether an upstream may have run it.
     pub may_have_run: bool,
-    /// Number of the last attempt.
-    pub number: u32,
     /// Fingerprint that all attempts of a caller at the same request share.
     pub print: Print,
     /// Progress of a relayed response.
@@ -212,8 +214,6 @@
     pub resume_cursor: Option<Cursor>,
     /// Time by which it must have been sent.
     pub send_by: Time,
-    /// When it was first sent.
-    pub sent: Option<Time>,
     /// Requested service.
     pub service: Arc<config::Service>,
     /// Position before which tokens are not delivered, because the caller already has them.
