--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -460,8 +460,7 @@
                 running,
                 takes_ms: pool.demands.takes_ms,
             };
-            self.effects
-                .push(Effect::AnnounceDemand { demand, pressed });
+            self.effects.push(Effect::GossipDemand { demand, pressed });
         }
     }
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -43,7 +43,7 @@
         request.send_by = send_by;
         let pool: Arc<str> = request.service.pool().into();
         self.pools.entry(pool).or_default().gauge.short(self.now);
-        self.announce_waiting(key);
+        self.gossip_waiting(key);
     }
 
     /// Sends the queued requests of a pool for as long as upstreams have capacity.
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -174,8 +174,6 @@
 /// Effect concerning requests that crash the upstreams that run them.
 #[derive(Clone, Debug)]
 pub enum Quarantine {
-    /// Broadcast crashes of upstreams to other instances.
-    Announce(Account),
     /// Find out whether an upstream whose connections broke has crashed.
     CheckCrash {
         /// Address that it listens on.
@@ -183,6 +181,8 @@
         /// Its incarnation.
         life: Life,
     },
+    /// Broadcast crashes of upstreams to other instances.
+    Gossip(Account),
     /// Publish the crash history after a change, for other instances that ask for it.
     Publish(Account),
     /// Log that a request is now refused, and persist the refusal so that it survives the loss of
@@ -210,33 +210,6 @@
 pub enum Effect {
     /// Abort a relayed stream, so that its caller sees that it is incomplete.
     AbortStream(request::Caller),
-    /// Broadcast to other instances how many requests for a pool this one receives.
-    AnnounceDemand {
-        /// The demand.
-        demand: Demand,
-        /// Whether the pool is close to its capacity, so that others need the update soon.
-        pressed: bool,
-    },
-    /// Broadcast to other instances that an upstream is draining.
-    AnnounceLeaving {
-        /// Its incarnation.
-        life: Life,
-        /// Its name.
-        upstream: Arc<str>,
-    },
-    /// Broadcast to other instances the rate limit that an upstream sets for all of them together.
-    AnnounceLimit {
-        /// Its incarnation.
-        life: Life,
-        /// The limit; `None` if it no longer announces one.
-        rate: Option<limit::Rate>,
-    },
-    /// Broadcast to other instances that an upstream was lost.
-    AnnounceLost(Life),
-    /// Broadcast to other instances how fast the engines of a pool are.
-    AnnouncePace(Pace),
-    /// Broadcast the state of a relayed stream to other instances.
-    AnnounceStream(Sighting),
     /// Abort an attempt and, for a stream, cancel it at the engine.
     Cancel {
         /// Address of the upstream.
@@ -299,6 +272,33 @@
     ForwardHead(request::Caller),
     /// Forward to a caller the complete response that the edge holds.
     ForwardResponse(request::Caller),
+    /// Broadcast to other instances how many requests for a pool this one receives.
+    GossipDemand {
+        /// The demand.
+        demand: Demand,
+        /// Whether the pool is close to its capacity, so that others need the update soon.
+        pressed: bool,
+    },
+    /// Broadcast to other instances that an upstream is draining.
+    GossipLeaving {
+        /// Its incarnation.
+        life: Life,
+        /// Its name.
+        upstream: Arc<str>,
+    },
+    /// Broadcast to other instances the rate limit that an upstream sets for all of them together.
+    GossipLimit {
+        /// Its incarnation.
+        life: Life,
+        /// The limit; `None` if it no longer announces one.
+        rate: Option<limit::Rate>,
+    },
+    /// Broadcast to other instances that an upstream was lost.
+    GossipLost(Life),
+    /// Broadcast to other instances how fast the engines of a pool are.
+    GossipPace(Pace),
+    /// Broadcast the state of a relayed stream to other instances.
+    GossipStream(Sighting),
     /// Log a step in the life cycle of a request.
     LogRequest(RequestLog),
     /// Log that the status of an upstream changed.
@@ -312,6 +312,8 @@
         /// Name of the upstream.
         upstream: Arc<str>,
     },
+    /// Record a duration, in milliseconds.
+    Observe(Timing, u64),
     /// Probe the health and load of an upstream.
     Probe {
         /// Address that it listens on.
@@ -321,8 +323,6 @@
     },
     /// An effect concerning requests that crash their upstreams.
     Quarantine(Quarantine),
-    /// Record a duration, in milliseconds.
-    RecordDuration(Timing, u64),
     /// Forward the response of a unary service to the caller.
     Reply {
         /// Response body.
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -144,13 +144,6 @@
     },
     /// Another instance, or the store, reported crashes of upstreams.
     CrashReported(Box<Account>),
-    /// Another instance reported its demand for a pool of unary services.
-    DemandReported {
-        /// The demand.
-        demand: Demand,
-        /// Address that the instance listens on.
-        from: SocketAddr,
-    },
     /// An attempt ended without a complete answer.
     Failed {
         /// The attempt.
@@ -171,15 +164,6 @@
     Instances(View),
     /// An upstream is draining, according to the list, a peer or the upstream itself.
     Leaving(String),
-    /// Another instance was told by an upstream that it is draining.
-    LeavingReported(Life),
-    /// Another instance reported the rate limit of an upstream.
-    LimitReported {
-        /// Incarnation of the upstream.
-        life: Life,
-        /// Limit for all instances together; `None` if the upstream no longer announces one.
-        rate: Option<limit::Rate>,
-    },
     /// The platform's list was read.
     List {
         /// Its entries; `None` if they are unchanged since the last read.
@@ -194,8 +178,6 @@
         /// The upstream.
         upstream: upstream::Key,
     },
-    /// Another instance lost an upstream.
-    LostReported(Life),
     /// An upstream sent a notice about itself with a response; the response follows this event.
     NoticeReceived {
         /// The attempt that it responded to.
@@ -205,8 +187,28 @@
         /// The upstream.
         upstream: upstream::Key,
     },
+    /// Another instance reported its demand for a pool of unary services.
+    PeerDemand {
+        /// The demand.
+        demand: Demand,
+        /// Address that the instance listens on.
+        from: SocketAddr,
+    },
+    /// Another instance was told by an upstream that it is draining.
+    PeerLeaving(Life),
+    /// Another instance reported the rate limit of an upstream.
+    PeerLimit {
+        /// Incarnation of the upstream.
+        life: Life,
+        /// Limit for all instances together; `None` if the upstream no longer announces one.
+        rate: Option<limit::Rate>,
+    },
+    /// Another instance lost an upstream.
+    PeerLoss(Life),
     /// Another instance reported how fast the engines of a pool are.
-    PaceReported(Pace),
+    PeerPace(Pace),
+    /// Another instance reported the state of a stream that it relays.
+    PeerStream(Sighting),
     /// A load report arrived with the tokens of a stream, and is as old as they are.
     PiggybackedLoad {
         /// The attempt.
@@ -249,8 +251,6 @@
     },
     /// A relayed stream began; the edge holds its response head.
     StreamOpened(attempt::Key),
-    /// Another instance reported the state of a stream that it relays.
-    StreamReported(Sighting),
     /// All streams that were stored before this instance started have been reported.
     StreamsRestored,
     /// A request arrived.
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -191,7 +191,7 @@
         if news || now.since(part.told) >= TELL_MS {
             part.told = now;
             let rate = Some(rate);
-            self.effects.push(Effect::AnnounceLimit { life, rate });
+            self.effects.push(Effect::GossipLimit { life, rate });
         }
     }
 
@@ -206,8 +206,7 @@
         }
         self.lift(key);
         let life = self.upstreams[key].life;
-        self.effects
-            .push(Effect::AnnounceLimit { life, rate: None });
+        self.effects.push(Effect::GossipLimit { life, rate: None });
     }
 
     /// Another instance heard a limit from an upstream, or that it names none any more.
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -109,7 +109,7 @@
         self.record_activity(key);
         if first {
             self.record_prefill(key);
-            self.announce_attempt(key, sighting::Stage::Streaming);
+            self.gossip_attempt(key, sighting::Stage::Streaming);
         }
         let request = &mut self.requests[owner];
         let is_only_attempt = request.attempts == [key];
@@ -153,7 +153,7 @@
             pool.gauge.event(self.now.since(since));
         }
         self.effects
-            .push(Effect::RecordDuration(timing, self.now.since(since)));
+            .push(Effect::Observe(timing, self.now.since(since)));
     }
 
     /// Records the prefill time of a stream at its first event, unless it resumed from a copy.
@@ -170,7 +170,7 @@
             .gauge
             .read(name, attempt.ahead_tokens, duration, self.now);
         if let Some(pace) = pace.filter(|_| self.settings.shared.paces) {
-            self.effects.push(Effect::AnnouncePace(pace));
+            self.effects.push(Effect::GossipPace(pace));
         }
     }
 
@@ -257,7 +257,7 @@
         attempt.ahead_tokens = ahead_tokens;
         attempt.copy = copy.filter(|copy| copy.upstream == upstream);
         attempt.backup = backup;
-        self.announce_attempt(key, sighting::Stage::Started);
+        self.gossip_attempt(key, sighting::Stage::Started);
     }
 
     /// Handles a relayed attempt that ended without a response.
@@ -437,7 +437,7 @@
     fn report_loss(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         upstream.trouble.add(self.now);
-        self.effects.push(Effect::AnnounceLost(upstream.life));
+        self.effects.push(Effect::GossipLost(upstream.life));
         self.doubt(key);
     }
 
@@ -450,42 +450,42 @@
     }
 
     /// Announces a stream that is being sent or has begun to other instances.
-    fn announce_attempt(&mut self, key: attempt::Key, stage: sighting::Stage) {
+    fn gossip_attempt(&mut self, key: attempt::Key, stage: sighting::Stage) {
         let attempt = &self.attempts[key];
         let life = |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.life);
         let backup = attempt.backup.and_then(life);
         let upstream = life(attempt.upstream);
         if let Some(relay) = self.requests[attempt.request].work.relay() {
             let sighting = relay.sighting(stage, upstream, backup);
-            self.announce(sighting);
+            self.gossip(sighting);
         }
     }
 
     /// Announces to other instances that a stream is queued for lack of capacity.
-    pub(crate) fn announce_waiting(&mut self, key: request::Key) {
+    pub(crate) fn gossip_waiting(&mut self, key: request::Key) {
         let request = &self.requests[key];
         if let Some(relay) = request.work.relay() {
             let mut sighting = relay.sighting(sighting::Stage::Waiting, None, None);
             sighting.pool = request.service.pool().into();
-            self.announce(sighting);
+            self.gossip(sighting);
         }
     }
 
     /// Announces to other instances that a stream ended, or that its caller left.
-    pub(crate) fn announce_end(&mut self, request: &Request, stage: sighting::Stage) {
+    pub(crate) fn gossip_end(&mut self, request: &Request, stage: sighting::Stage) {
         if let Some(relay) = request.work.relay() {
             let sighting = relay.sighting(stage, None, None);
-            self.announce(sighting);
+            self.gossip(sighting);
         }
     }
 
-    fn announce(&mut self, sighting: Sighting) {
+    fn gossip(&mut self, sighting: Sighting) {
         if sighting.prompt == 0 {
             return;
         }
         self.sightings
             .add(sighting.clone(), true, 0, &self.lives, self.now);
-        self.effects.push(Effect::AnnounceStream(sighting));
+        self.effects.push(Effect::GossipStream(sighting));
     }
 
     /// Completes a relayed request: ends the caller's response with the effect that `last` creates.
@@ -505,8 +505,7 @@
         self.acquit(request.print);
         if !request.progress.is_open {
             let wait = self.now.since(request.arrived_at);
-            self.effects
-                .push(Effect::RecordDuration(Timing::Answer, wait));
+            self.effects.push(Effect::Observe(Timing::Answer, wait));
         }
         if let Some(pool) = self.pools.get_mut(request.service.pool())
             && let Some(relay) = request.work.relay()
@@ -515,7 +514,7 @@
                 .answered(request.progress.position, relay.max_answer_tokens);
         }
         self.log_step(&request, effect::Step::Answered, Some(upstream));
-        self.announce_end(&request, sighting::Stage::Ended);
+        self.gossip_end(&request, sighting::Stage::Ended);
         self.effects.push(last(request.caller));
         self.dispatch_queued(request.service.pool());
     }
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -195,7 +195,7 @@
     /// Tells other instances what this one saw, and draws the conclusions.
     fn tell_ends(&mut self, news: Account) {
         if !news.is_empty() {
-            self.decide(effect::Quarantine::Announce(news));
+            self.decide(effect::Quarantine::Gossip(news));
             self.judge();
         }
     }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -66,7 +66,7 @@
     pub(crate) fn leave(&mut self, key: upstream::Key) {
         if self.hint(key) {
             let upstream = &self.upstreams[key];
-            self.effects.push(Effect::AnnounceLeaving {
+            self.effects.push(Effect::GossipLeaving {
                 life: upstream.life,
                 upstream: upstream.name.clone(),
             });
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -195,7 +195,7 @@
 
     /// Has a stream told of that waits at another instance.
     pub fn waits_elsewhere(&mut self, prompt: u64) {
-        self.tell(Event::StreamReported(Sighting {
+        self.tell(Event::PeerStream(Sighting {
             backup: None,
             pool: "pool".into(),
             prompt,
--- a/crates/core/tests/relay/fleet.rs
+++ b/crates/core/tests/relay/fleet.rs
@@ -91,7 +91,7 @@
         test.tell(Event::Instances(View::numbered(0, u64::from(instances))));
         // All but a few are known to be busy.
         for upstream in 4..60 {
-            test.tell(Event::StreamReported(Sighting {
+            test.tell(Event::PeerStream(Sighting {
                 prompt: 1_000 + upstream as u64,
                 stage: Stage::Started,
                 ..sighting(upstream, upstream)
@@ -122,7 +122,7 @@
                 takes_ms: 60.0,
             };
             let from = SocketAddr::from(([10, 0, 0, 1], instance + 1));
-            self.tell(Event::DemandReported { demand, from });
+            self.tell(Event::PeerDemand { demand, from });
         }
     }
 
@@ -194,7 +194,7 @@
     test.ask(ONCE);
     test.pass(300);
     let told = test.effects.iter().find_map(|effect| match effect {
-        Effect::AnnounceDemand { demand, pressed } => Some((demand.clone(), *pressed)),
+        Effect::GossipDemand { demand, pressed } => Some((demand.clone(), *pressed)),
         _ => None,
     });
     let (demand, pressed) = told.expect("something is told");
--- a/crates/core/tests/relay/life.rs
+++ b/crates/core/tests/relay/life.rs
@@ -47,7 +47,7 @@
 #[gtest]
 fn copy_at_a_former_life_is_not_gone_on_from() {
     let mut test = lives(6);
-    test.tell(Event::StreamReported(Sighting {
+    test.tell(Event::PeerStream(Sighting {
         backup: Some(life(4, 5)),
         upstream: Some(life(1, 5)),
         ..sighting(1, 4)
@@ -79,7 +79,7 @@
     let mut test = lives(6);
     test.list((0..6).map(|index| born(index, 9)).collect());
     for upstream in [0, 1] {
-        test.tell(Event::LostReported(life(upstream, 5)));
+        test.tell(Event::PeerLoss(life(upstream, 5)));
     }
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..30 {
@@ -176,7 +176,7 @@
 fn load_of_a_former_life_is_not_that_of_the_next() {
     let mut test = lives(2);
     for prompt in 0..8 {
-        test.tell(Event::StreamReported(Sighting {
+        test.tell(Event::PeerStream(Sighting {
             backup: None,
             prompt: 1_000 + prompt,
             stage: Stage::Started,
--- a/crates/core/tests/relay/limit.rs
+++ b/crates/core/tests/relay/limit.rs
@@ -54,7 +54,7 @@
     /// What others were told of limits.
     fn told(&self) -> Vec<Option<Rate>> {
         let told = |effect: &Effect| match effect {
-            Effect::AnnounceLimit { rate, .. } => Some(*rate),
+            Effect::GossipLimit { rate, .. } => Some(*rate),
             _ => None,
         };
         self.effects.iter().filter_map(told).collect()
@@ -120,7 +120,7 @@
     let mut test = Test::new(3);
     let running = test.stream(2);
     let holder = running.backup.unwrap();
-    test.tell(Event::LimitReported {
+    test.tell(Event::PeerLimit {
         life: life(holder, 0),
         rate: Some(Rate(100)),
     });
@@ -182,7 +182,7 @@
     let mut test = Test::new(1);
     let tell = |test: &mut Test, rate: Option<Rate>| {
         let life = life(0, 0);
-        test.tell(Event::LimitReported { life, rate });
+        test.tell(Event::PeerLimit { life, rate });
     };
     tell(&mut test, Some(Rate(1_000)));
     expect_that!(test.press(5 * SECOND, Limit::Unknown), le(6));
@@ -197,7 +197,7 @@
     test.ask(ONCE);
     let sent = test.last();
     let rate = Rate(1_000);
-    test.tell(Event::LimitReported {
+    test.tell(Event::PeerLimit {
         life: life(0, 0),
         rate: Some(rate),
     });
@@ -268,7 +268,7 @@
         test.pass(5 * SECOND);
         let rate = Some(Rate(1_000));
         let life = life(0, 0);
-        test.tell(Event::LimitReported { life, rate });
+        test.tell(Event::PeerLimit { life, rate });
         test.ask(ONCE);
     }
     expect_that!(test.sent().len(), eq(known));
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -410,7 +410,7 @@
     let mut test = Test::new(6);
     for upstream in [0, 1] {
         test.now = test.now.after(5);
-        test.tell(Event::LostReported(life(upstream, 0)));
+        test.tell(Event::PeerLoss(life(upstream, 0)));
     }
     for _ in 0..10 {
         test.ask(AGAIN);
@@ -424,7 +424,7 @@
     let sent = test.stream(1);
     test.fail(&sent, Failure::Broken);
     let blamed = test.effects.iter().find_map(|effect| match effect {
-        Effect::AnnounceLost(life) => Some(*life),
+        Effect::GossipLost(life) => Some(*life),
         _ => None,
     });
     expect_that!(blamed, some(eq(life(sent.upstream, 0))));
@@ -433,7 +433,7 @@
 #[gtest]
 fn reconnecting_caller_resumes_from_the_reported_copy() {
     let mut test = Test::new(6);
-    test.tell(Event::StreamReported(sighting(1, 4)));
+    test.tell(Event::PeerStream(sighting(1, 4)));
     test.ask_as("key", STREAM, 9);
     let sent = test.last();
     expect_that!(sent.upstream, eq(4));
@@ -444,7 +444,7 @@
 #[gtest]
 fn reconnecting_caller_falls_back_to_the_upstream_that_ran_the_stream() {
     let mut test = Test::new(6);
-    test.tell(Event::StreamReported(sighting(1, 4)));
+    test.tell(Event::PeerStream(sighting(1, 4)));
     test.ask_as("key", STREAM, 9);
     let sent = test.last();
     test.fail(&sent, Failure::Refused);
@@ -456,12 +456,12 @@
 #[gtest]
 fn stream_reported_as_ended_is_not_resumed_from_its_copy() {
     let mut test = Test::new(6);
-    test.tell(Event::StreamReported(sighting(1, 4)));
+    test.tell(Event::PeerStream(sighting(1, 4)));
     let ended = Sighting {
         stage: Stage::Ended,
         ..sighting(1, 4)
     };
-    test.tell(Event::StreamReported(ended));
+    test.tell(Event::PeerStream(ended));
     test.ask_as("key", STREAM, 9);
     expect_that!(test.last().copy, none());
 }
@@ -469,14 +469,14 @@
 #[gtest]
 fn stream_reported_as_left_can_still_be_resumed() {
     let mut test = Test::new(6);
-    test.tell(Event::StreamReported(sighting(1, 4)));
+    test.tell(Event::PeerStream(sighting(1, 4)));
     let left = Sighting {
         backup: None,
         stage: Stage::Left,
         upstream: None,
         ..sighting(1, 4)
     };
-    test.tell(Event::StreamReported(left));
+    test.tell(Event::PeerStream(left));
     test.ask_as("key", STREAM, 9);
     expect_that!(test.last().copy, some(eq("run-before")));
 }
@@ -485,7 +485,7 @@
 fn streams_of_other_instances_count_as_load() {
     let mut test = Test::new(2);
     for prompt in 0..4 {
-        test.tell(Event::StreamReported(Sighting {
+        test.tell(Event::PeerStream(Sighting {
             prompt: 1_000 + prompt,
             stage: Stage::Started,
             ..sighting(0, 9)
--- a/crates/core/tests/relay/notice.rs
+++ b/crates/core/tests/relay/notice.rs
@@ -166,10 +166,10 @@
     let (mut test, left) = left_of_two();
     let sent = test.sent().first().cloned().unwrap();
     test.says_leaving(&sent);
-    let told = |effect: &&Effect| matches!(effect, Effect::AnnounceLeaving { .. });
+    let told = |effect: &&Effect| matches!(effect, Effect::GossipLeaving { .. });
     expect_that!(test.effects.iter().filter(told).count(), eq(1));
     let mut other = Test::new(2);
-    other.tell(Event::LeavingReported(life(left, 0)));
+    other.tell(Event::PeerLeaving(life(left, 0)));
     expect_that!(other.asked(ONCE), elements_are![eq(&(1 - left))]);
     // What was told is not told on: each instance that hears it would tell all others.
     expect_that!(other.effects.iter().filter(told).count(), eq(0));
@@ -178,7 +178,7 @@
 #[gtest]
 fn word_that_was_told_holds_for_a_while_only() {
     let mut test = Test::new(2);
-    test.tell(Event::LeavingReported(life(0, 0)));
+    test.tell(Event::PeerLeaving(life(0, 0)));
     test.pass(31_000);
     expect_that!(test.asked(ONCE), elements_are![eq(&0), eq(&1)]);
 }
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -256,7 +256,7 @@
     let mut test = Test::new(9);
     end_upstreams(&mut test, 1);
     let told =
-        |effect: &&Effect| matches!(effect, Effect::Quarantine(effect::Quarantine::Announce(_)));
+        |effect: &&Effect| matches!(effect, Effect::Quarantine(effect::Quarantine::Gossip(_)));
     expect_that!(test.effects.iter().filter(told).count(), eq(1));
 }
 
--- a/crates/core/tests/relay/room.rs
+++ b/crates/core/tests/relay/room.rs
@@ -123,7 +123,7 @@
     test.waits_elsewhere(2);
     test.ask(STREAM);
     expect_that!(test.sent(), is_empty());
-    test.tell(Event::StreamReported(Sighting {
+    test.tell(Event::PeerStream(Sighting {
         prompt: 1,
         stage: Stage::Left,
         ..sighting(0, 0)
@@ -147,7 +147,7 @@
     let mut test = Test::new(1);
     test.burst(3);
     let waits = |effect: &&Effect| match effect {
-        Effect::AnnounceStream(sighting) => {
+        Effect::GossipStream(sighting) => {
             sighting.stage == Stage::Waiting && sighting.pool == "pool"
         }
         _ => false,
@@ -225,7 +225,7 @@
     test.ask(ONCE);
     test.ask_as("key", STREAM, 9);
     expect_that!(test.sent().len(), eq(1));
-    test.tell(Event::StreamReported(sighting(1, 4)));
+    test.tell(Event::PeerStream(sighting(1, 4)));
     test.tell(Event::StreamsRestored);
     expect_that!(test.last().copy, some(eq("run-before")));
 }
--- a/crates/core/tests/relay/version.rs
+++ b/crates/core/tests/relay/version.rs
@@ -83,7 +83,7 @@
 #[gtest]
 fn copy_at_another_version_is_not_gone_on_from() {
     let mut test = beside();
-    test.tell(Event::StreamReported(Sighting {
+    test.tell(Event::PeerStream(Sighting {
         backup: Some(life(8, 0)),
         upstream: Some(life(7, 0)),
         ..sighting(7, 8)
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -280,7 +280,7 @@
                 silent_ms,
                 upstream,
             } => note::believe(belief, born, silent_ms, &upstream),
-            Effect::AnnounceLost(life) => self.tell_others(gossip::Told::Lost(life)),
+            Effect::GossipLost(life) => self.tell_others(gossip::Told::Lost(life)),
             Effect::Cancel {
                 address,
                 attempt,
@@ -314,7 +314,7 @@
                 };
                 self.reply(caller, reply);
             }
-            Effect::AnnounceDemand { demand, pressed } => {
+            Effect::GossipDemand { demand, pressed } => {
                 self.tell_others(gossip::Told::Demand { demand, pressed });
             }
             Effect::Detach(attempt) => self.abort(attempt),
@@ -334,9 +334,9 @@
                 position,
                 reason,
             } => self.end(caller, Reply::Finished { position, reason }),
-            Effect::AnnounceLeaving { life, upstream } => self.leaves(life, &upstream),
+            Effect::GossipLeaving { life, upstream } => self.leaves(life, &upstream),
             Effect::LogRequest(note) => note::write(&note),
-            Effect::AnnounceLimit { life, rate } => {
+            Effect::GossipLimit { life, rate } => {
                 self.tell_others(gossip::Told::Limit { life, rate });
             }
             Effect::ForwardHead(caller) => {
@@ -344,7 +344,7 @@
                     self.reply(caller, Reply::Open(head));
                 }
             }
-            Effect::AnnouncePace(pace) => self.tell_others(gossip::Told::Pace(pace)),
+            Effect::GossipPace(pace) => self.tell_others(gossip::Told::Pace(pace)),
             Effect::ForwardEvent { bytes, caller } => self.reply(caller, Reply::Pass(bytes)),
             Effect::Probe { address, upstream } => {
                 let probe = probe::run(self.probes.clone(), self.driver.clone(), upstream, address);
@@ -362,8 +362,8 @@
                 outbound,
                 upstream,
             } => self.send(address, attempt, outbound, upstream),
-            Effect::AnnounceStream(sighting) => self.tell_others(gossip::Told::Stream(sighting)),
-            Effect::RecordDuration(timing, millis) => {
+            Effect::GossipStream(sighting) => self.tell_others(gossip::Told::Stream(sighting)),
+            Effect::Observe(timing, millis) => {
                 self.meter.time(meter::Timed::Core(timing), millis as f64);
             }
         }
@@ -397,7 +397,7 @@
                     self.keep(keeper::Kept::Ends(print, ends));
                 }
             }
-            effect::Quarantine::Announce(news) => self.tell_others(gossip::Told::Ends(news)),
+            effect::Quarantine::Gossip(news) => self.tell_others(gossip::Told::Ends(news)),
         }
     }
 
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -196,22 +196,22 @@
         }
         self.take_ends(told.ends, told.account, told.asks, from);
         for life in told.lost {
-            self.driver.event(Event::LostReported(decode_life(life)));
+            self.driver.event(Event::PeerLoss(decode_life(life)));
         }
         for life in told.leaving {
-            self.driver.event(Event::LeavingReported(decode_life(life)));
+            self.driver.event(Event::PeerLeaving(decode_life(life)));
         }
         for limit in told.limits {
             let life = decode_life(limit.life.unwrap_or_default());
             let rate = limit.rate.map(Rate);
-            self.driver.event(Event::LimitReported { life, rate });
+            self.driver.event(Event::PeerLimit { life, rate });
         }
         for demand in told.demands {
             let demand = decode_demand(demand);
-            self.driver.event(Event::DemandReported { demand, from });
+            self.driver.event(Event::PeerDemand { demand, from });
         }
         for pace in told.paces {
-            self.driver.event(Event::PaceReported(decode_pace(pace)));
+            self.driver.event(Event::PeerPace(decode_pace(pace)));
         }
         let word = told.roster.map(decode_word);
         let confirmed = told.confirmed.map(decode_confirmed);
@@ -260,7 +260,7 @@
 /// Tells the core of streams that other instances relay.
 pub(crate) fn sight(sightings: Vec<peers::Sighting>, driver: &Driver) {
     for sighting in sightings {
-        driver.event(Event::StreamReported(decode(sighting)));
+        driver.event(Event::PeerStream(decode(sighting)));
     }
 }
 
--- a/crates/standin/src/placing.rs
+++ b/crates/standin/src/placing.rs
@@ -109,10 +109,7 @@
     core.handle(START, list);
     let told = Instant::now();
     for prompt in 0..streams {
-        core.handle(
-            START,
-            Event::StreamReported(sighting(prompt + 1, upstreams)),
-        );
+        core.handle(START, Event::PeerStream(sighting(prompt + 1, upstreams)));
     }
     let told = told.elapsed();
     let mut placing = Duration::ZERO;
--- a/crates/standin/src/relayed.rs
+++ b/crates/standin/src/relayed.rs
@@ -234,7 +234,7 @@
         let name = format!("{upstream}-{}", self.upstreams[upstream].life);
         let life = wellplank_core::life::Life::new(&name, 0);
         for instance in 0..self.instances.len() {
-            self.tell(instance, wellplank_core::event::Event::LostReported(life));
+            self.tell(instance, wellplank_core::event::Event::PeerLoss(life));
         }
     }
 }
--- a/crates/standin/src/relaying.rs
+++ b/crates/standin/src/relaying.rs
@@ -464,7 +464,7 @@
         };
         match effect {
             Effect::ForwardResponse(caller) => self.end(caller, true),
-            Effect::AnnounceLost(life) => self.gossip(instance, &Event::LostReported(life)),
+            Effect::GossipLost(life) => self.gossip(instance, &Event::PeerLoss(life)),
             Effect::Cancel {
                 address, attempt, ..
             } => {
@@ -486,23 +486,21 @@
                     let _ = self.poison.kept.merge(&ends);
                 }
             }
-            Effect::Quarantine(effect::Quarantine::Announce(news)) => {
+            Effect::Quarantine(effect::Quarantine::Gossip(news)) => {
                 self.gossip(instance, &Event::CrashReported(news.into()));
             }
-            Effect::AnnounceDemand { demand, .. } => self.gossip(
+            Effect::GossipDemand { demand, .. } => self.gossip(
                 instance,
-                &Event::DemandReported {
+                &Event::PeerDemand {
                     demand,
                     from: address(instance),
                 },
             ),
-            Effect::AnnounceLeaving { life, .. } => {
-                self.gossip(instance, &Event::LeavingReported(life))
+            Effect::GossipLeaving { life, .. } => self.gossip(instance, &Event::PeerLeaving(life)),
+            Effect::GossipLimit { life, rate } => {
+                self.gossip(instance, &Event::PeerLimit { life, rate });
             }
-            Effect::AnnounceLimit { life, rate } => {
-                self.gossip(instance, &Event::LimitReported { life, rate })
-            }
-            Effect::AnnouncePace(pace) => self.gossip(instance, &Event::PaceReported(pace)),
+            Effect::GossipPace(pace) => self.gossip(instance, &Event::PeerPace(pace)),
             Effect::EndStream(caller) => {
                 let asker = self.connections.get(&caller).copied();
                 if let Some(asker) = asker
@@ -539,13 +537,11 @@
                 let arrive = Action::Arrive(line(attempt), upstream, index(address), outbound);
                 self.timeline.schedule(1, arrive);
             }
-            Effect::AnnounceStream(sighting) => {
-                self.gossip(instance, &Event::StreamReported(sighting));
+            Effect::GossipStream(sighting) => {
+                self.gossip(instance, &Event::PeerStream(sighting));
                 self.compare_accounts(instance);
             }
-            Effect::RecordDuration(Timing::Resume, millis) => {
-                self.case.pauses_ms.push(millis as f64)
-            }
+            Effect::Observe(Timing::Resume, millis) => self.case.pauses_ms.push(millis as f64),
             Effect::LogUpstream { .. }
             | Effect::Claim { .. }
             | Effect::Count(..)
@@ -557,7 +553,7 @@
             | Effect::Probe { .. }
             | Effect::Quarantine(_)
             | Effect::Reply { .. }
-            | Effect::RecordDuration(..) => {}
+            | Effect::Observe(..) => {}
         }
     }
 
--- a/crates/standin/src/rush.rs
+++ b/crates/standin/src/rush.rs
@@ -614,13 +614,13 @@
                 }
             }
             Effect::Cancel { attempt, .. } => self.leave(instance, attempt),
-            Effect::AnnounceDemand { demand, pressed } => {
+            Effect::GossipDemand { demand, pressed } => {
                 let from = address(instance);
-                let event = Event::DemandReported { demand, from };
+                let event = Event::PeerDemand { demand, from };
                 self.spread(instance, &event, pressed);
             }
-            Effect::AnnounceLimit { life, rate } => {
-                let event = Event::LimitReported { life, rate };
+            Effect::GossipLimit { life, rate } => {
+                let event = Event::PeerLimit { life, rate };
                 for to in (0..self.cores.len()).filter(|to| *to != instance) {
                     if self.random.random::<f64>() >= LOST {
                         let action = Action::Tell(to, event.clone());
--- a/crates/standin/src/surge.rs
+++ b/crates/standin/src/surge.rs
@@ -363,9 +363,9 @@
 
     fn carry_out(&mut self, instance: usize, effect: Effect) {
         match effect {
-            Effect::AnnounceLost(life) => {
+            Effect::GossipLost(life) => {
                 for other in (0..self.cores.len()).filter(|other| *other != instance) {
-                    let event = Event::LostReported(life);
+                    let event = Event::PeerLoss(life);
                     self.timeline.schedule(WAY_MS, Action::Tell(other, event));
                 }
             }
@@ -389,9 +389,9 @@
                     self.askers[*asker].first.get_or_insert(now);
                 }
             }
-            Effect::AnnouncePace(pace) => {
+            Effect::GossipPace(pace) => {
                 for other in (0..self.cores.len()).filter(|other| *other != instance) {
-                    let event = Event::PaceReported(pace.clone());
+                    let event = Event::PeerPace(pace.clone());
                     self.timeline
                         .schedule(CARRIED_MS, Action::Tell(other, event));
                 }
@@ -416,9 +416,9 @@
                 let line = self.lines.len() - 1;
                 self.timeline.schedule(WAY_MS, Action::Arrive(line, asker));
             }
-            Effect::AnnounceStream(sighting) => {
+            Effect::GossipStream(sighting) => {
                 for other in (0..self.cores.len()).filter(|other| *other != instance) {
-                    let event = Event::StreamReported(sighting.clone());
+                    let event = Event::PeerStream(sighting.clone());
                     self.timeline.schedule(WAY_MS, Action::Tell(other, event));
                 }
             }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -374,19 +374,19 @@
             // Nobody relays in this world.
             Effect::ForwardResponse(_)
             | Effect::LogUpstream { .. }
-            | Effect::AnnounceLost(_)
+            | Effect::GossipLost(_)
             | Effect::EndStream(_)
             | Effect::AbortStream(_)
-            | Effect::AnnounceDemand { .. }
-            | Effect::AnnounceLeaving { .. }
-            | Effect::AnnounceLimit { .. }
+            | Effect::GossipDemand { .. }
+            | Effect::GossipLeaving { .. }
+            | Effect::GossipLimit { .. }
             | Effect::LogRequest { .. }
             | Effect::ForwardHead(_)
-            | Effect::AnnouncePace(_)
+            | Effect::GossipPace(_)
             | Effect::ForwardEvent { .. }
             | Effect::Quarantine(_)
-            | Effect::AnnounceStream(_)
-            | Effect::RecordDuration(..) => {}
+            | Effect::GossipStream(_)
+            | Effect::Observe(..) => {}
             Effect::Probe { address, upstream } => {
                 let index = index_of(address);
                 let alive = match self.upstreams[index].mode {
