--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -174,7 +174,7 @@
         let mut request = self.request(submission, customer, service, print)?;
         self.note_size(&request);
         let checked = self.check_open(&request);
-        let checked = checked.and_then(|()| self.check_time(&request));
+        let checked = checked.and_then(|()| self.check_feasible(&request));
         if let Err(refusal) = checked.and_then(|()| self.check_demand(&request)) {
             self.count_refused(&request);
             return Err(refusal);
@@ -197,7 +197,7 @@
 
     /// Counts a refusal of a caller who was refused before.
     pub(crate) fn count_refused(&mut self, request: &Request) {
-        if request.waited_ms >= demand::RETURNED_MS {
+        if request.waited_ms >= demand::RETRY_MARGIN_MS {
             self.count(Counter::RefusedAgain);
         }
     }
--- a/crates/core/src/room.rs
+++ b/crates/core/src/capacity.rs
@@ -20,7 +20,7 @@
 const SETTLED_MS: u64 = 2_000;
 
 /// The shortest time after which a caller is asked to come back, in milliseconds.
-pub(crate) const COME_BACK_MS: u64 = 200;
+pub(crate) const MIN_RETRY_AFTER_MS: u64 = 200;
 
 /// What a stream needs of an upstream.
 #[derive(Clone, Copy, Debug)]
@@ -53,7 +53,7 @@
 impl Core {
     /// Those of some upstreams that have room for a request. A stream that its caller has a part of goes on
     /// wherever it can.
-    pub(crate) fn with_room(
+    pub(crate) fn upstreams_with_capacity(
         &self,
         request: &Request,
         mut candidates: Vec<upstream::Key>,
@@ -93,7 +93,9 @@
         let own = request.work.relay().map_or(0, |relay| relay.tokens);
         let tokens = own.min(self.counted_tokens(request));
         let pool = self.pools.get(request.service.pool());
-        let reading = pool.map_or(0, |pool| pool.gauge.reading(usage.reading_tokens + tokens));
+        let reading = pool.map_or(0, |pool| {
+            pool.estimates.prefill_ms(usage.reading_tokens + tokens)
+        });
         let any_time = self.settings.room.late_fill == 0.0;
         any_time || self.now.after(reading) <= request.wanted_by
     }
@@ -114,7 +116,7 @@
 
     /// Those of some upstreams that have room for a copy of a stream's memory. Where the memory of all is
     /// short none has: a copy takes as much of it as a stream does.
-    pub(crate) fn with_room_for_copy(
+    pub(crate) fn upstreams_with_copy_capacity(
         &self,
         request: &Request,
         mut candidates: Vec<upstream::Key>,
@@ -145,9 +147,9 @@
     }
 
     /// Whether no upstream has room for a request.
-    pub(crate) fn lacks_room(&self, request: &Request) -> bool {
+    pub(crate) fn lacks_capacity(&self, request: &Request) -> bool {
         let placeable = self.placeable(request);
-        self.with_room(request, placeable, &self.own_usage())
+        self.upstreams_with_capacity(request, placeable, &self.own_usage())
             .is_empty()
     }
 
@@ -161,7 +163,7 @@
     fn reading_ms(&self, request: &Request) -> u64 {
         let tokens = self.counted_tokens(request);
         let pool = self.pools.get(request.service.pool());
-        pool.map_or(0, |pool| pool.gauge.reading(tokens))
+        pool.map_or(0, |pool| pool.estimates.prefill_ms(tokens))
     }
 
     /// Tokens of a request by which it waits and is refused: in a lasting shortage those of the mean. Waits
@@ -173,7 +175,7 @@
             return tokens;
         };
         let mean = pool.tokens.get() as u32;
-        let lasting = pool.gauge.lasting(self.now).unwrap_or(0);
+        let lasting = pool.estimates.shortage_ms(self.now).unwrap_or(0);
         if self.settings.room.sizes && mean > 0 && lasting >= SETTLED_MS {
             mean
         } else {
@@ -182,7 +184,7 @@
     }
 
     /// Whether a new stream can be served: what can be known to fail is refused at once.
-    pub(crate) fn check_time(&mut self, request: &Request) -> Result<(), admission::Refusal> {
+    pub(crate) fn check_feasible(&mut self, request: &Request) -> Result<(), admission::Refusal> {
         if Need::of(request).is_none() {
             return Ok(());
         }
@@ -198,10 +200,10 @@
         }
         let waiting = self.waiting(request.service.pool());
         let placeable = self.placeable(request);
-        if placeable.is_empty() || (waiting == 0 && !self.lacks_room(request)) {
+        if placeable.is_empty() || (waiting == 0 && !self.lacks_capacity(request)) {
             return Ok(());
         }
-        let lasting = self.shortage(request);
+        let lasting = self.record_shortage(request);
         let wait = self.expected_room(request, waiting + 1);
         let begins = self.now.after(wait + self.reading_ms(request));
         let late = self.is_late(request);
@@ -213,14 +215,14 @@
         if in_vain {
             return Err(admission::Refusal {
                 kind: Kind::Overloaded,
-                retry_after_ms: Some(self.come_back(request)),
+                retry_after_ms: Some(self.retry_after_ms(request)),
             });
         }
         Ok(())
     }
 
     /// Time up to which a request may wait for an upstream; a new stream as long as it can still begin in the time wanted.
-    pub(crate) fn may_wait_until(&self, request: &Request) -> Time {
+    pub(crate) fn queue_deadline(&self, request: &Request) -> Time {
         if request.service.relay().is_none() {
             return request.send_by;
         }
@@ -242,9 +244,11 @@
         let reading = if kept {
             0
         } else {
-            pool.gauge.reading(relay.tokens)
+            pool.estimates.prefill_ms(relay.tokens)
         };
-        let rest = pool.gauge.rest(relay.answer_tokens, relay.position);
+        let rest = pool
+            .estimates
+            .remaining_ms(relay.answer_tokens, relay.position);
         let left = request.deadline.since(self.now);
         let hopeless = self.settings.room.hopeless;
         hopeless > 0.0 && (reading + rest) as f64 > left as f64 * hopeless
@@ -257,10 +261,10 @@
     }
 
     /// Notes that a stream found no room; for how long that has been so, in milliseconds.
-    pub(crate) fn shortage(&mut self, request: &Request) -> u64 {
+    pub(crate) fn record_shortage(&mut self, request: &Request) -> u64 {
         let pool = self.pools.entry(request.service.pool().into()).or_default();
-        pool.gauge.short(self.now);
-        pool.gauge.lasting(self.now).unwrap_or(0)
+        pool.estimates.record_shortage(self.now);
+        pool.estimates.shortage_ms(self.now).unwrap_or(0)
     }
 
     /// Time in milliseconds until so many streams have found room: by the starts of late, or, while a shortage
@@ -270,11 +274,11 @@
             return 0;
         };
         if pool
-            .gauge
-            .lasting(self.now)
+            .estimates
+            .shortage_ms(self.now)
             .is_some_and(|lasting| lasting >= KNOWN_MS)
         {
-            return pool.gauge.wait(streams, self.now);
+            return pool.estimates.expected_wait_ms(streams, self.now);
         }
         let engines = self.placeable(request).len().max(1) as u64;
         self.reading_ms(request) * streams as u64 / engines
@@ -284,18 +288,18 @@
     /// rest. Else, as for a stream that found no room: soon enough to have it in the
     /// time wanted, if room is likely then; else when the shortage is likely to be over. One that has
     /// lasted for some time is likely to last as long again.
-    pub(crate) fn come_back(&mut self, request: &Request) -> u64 {
+    pub(crate) fn retry_after_ms(&mut self, request: &Request) -> u64 {
         if let Some(rest) = self.come_back_rested(request) {
             return rest;
         }
         let pool = self.pools.get(request.service.pool());
-        let lasting = pool.and_then(|pool| pool.gauge.lasting(self.now));
+        let lasting = pool.and_then(|pool| pool.estimates.shortage_ms(self.now));
         let waiting = self.waiting(request.service.pool());
         let wait = self.expected_room(request, waiting + 1);
         let most = request.deadline.since(self.now) / FOLLOWED_PART;
-        let most = most.max(2 * COME_BACK_MS);
+        let most = most.max(2 * MIN_RETRY_AFTER_MS);
         let least = wait.max(lasting.unwrap_or(0));
-        let least = least.clamp(COME_BACK_MS, most / 2);
+        let least = least.clamp(MIN_RETRY_AFTER_MS, most / 2);
         self.rng.random_range(least..=2 * least)
     }
 }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -21,17 +21,17 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     /// What all instances ask of it.
-    pub demands: Demands,
+    pub demands: DemandTracker,
     /// Running mean of the time from sending to the end, in milliseconds.
     pub duration: f64,
     /// Paces of its upstreams, and how long they have had no room.
-    pub gauge: Gauge,
+    pub estimates: PoolEstimates,
     /// Work that waits.
     pub queue: Queue,
     /// Requests that may be sent a second time.
     pub retries: Budget,
     /// Tokens of a request, in the mean.
-    pub tokens: gauge::Mean,
+    pub tokens: estimates::Mean,
     /// Its upstreams.
     pub upstreams: Vec<upstream::Key>,
     /// Version of its upstreams that is in force; `None` before there was one.
@@ -43,12 +43,12 @@
 impl Default for Pool {
     fn default() -> Self {
         Self {
-            demands: Demands::default(),
+            demands: DemandTracker::default(),
             duration: DURATION_START,
-            gauge: Gauge::default(),
+            estimates: PoolEstimates::default(),
             queue: Queue::default(),
             retries: Budget::new(BUDGET, BUDGET_REFILL, Time::default()),
-            tokens: gauge::Mean::default(),
+            tokens: estimates::Mean::default(),
             upstreams: Vec::new(),
             version: None,
             window: Window::default(),
@@ -86,7 +86,7 @@
     pub(crate) members: Members,
     pub(crate) now: Time,
     /// How long callers of each service wait.
-    pub(crate) patiences: HashMap<String, patience::Longest>,
+    pub(crate) patiences: HashMap<String, timeout::LongestTimeout>,
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
     /// When the store last showed the list of upstreams; `None` before it was read.
     pub(crate) listed: Option<Time>,
@@ -148,7 +148,7 @@
             Event::Config(config) => self.adopt(config),
             Event::Crashed(account) => self.crashed(&account),
             Event::Departing(life) => self.departing(life),
-            Event::Demanded { demand, from } => self.demanded(from, &demand),
+            Event::Demanded { demand, from } => self.record_peer_demand(from, &demand),
             Event::Failed { attempt, failure } => self.failed(attempt, failure),
             Event::Finished {
                 attempt,
@@ -321,7 +321,7 @@
                     .remove(request.service.priority, &request.customer, key);
             }
             if request.counted {
-                pool.queue.ended(&request.customer);
+                pool.queue.finish(&request.customer);
             }
             if let Some(sent) = request.sent {
                 let duration = self.now.since(sent) as f64;
--- a/crates/core/src/counter.rs
+++ b/crates/core/src/counter.rs
@@ -12,7 +12,7 @@
     /// Callers that went away before their answer was whole.
     CallerGone,
     /// An entry of the list names no upstream to use, for a reason.
-    EntryOdd(&'static str),
+    EntryInvalid(&'static str),
     /// Frames dropped since their attempt is over.
     FrameLate,
     /// Tokens dropped since they were delivered before.
@@ -24,15 +24,15 @@
     /// Invariants found broken.
     Invariant(Invariant),
     /// Words of other instances that an upstream is leaving.
-    LeavingTold,
+    PeerLeaving,
     /// Words of other instances on the limits that upstreams name.
-    LimitTold,
+    PeerLimit,
     /// Answers whose upstream said beside them that it is leaving.
     NoticeLeaving,
     /// Answers whose upstream named a limit.
     NoticeLimit,
     /// Answers whose upstream asked for a rest that is no time, or named a limit that is no number.
-    NoticeOdd,
+    NoticeInvalid,
     /// Answers whose upstream asked for rest.
     NoticeRest,
     /// Words of upstreams beside their answers that are not known.
@@ -52,7 +52,7 @@
     /// Answers of the store that were dropped, being of an era before it came back from a copy.
     StoreOutdated,
     /// Times at which the store was found to have come back from a copy.
-    StoreReturned,
+    StoreRestored,
     /// Upstreams suspected as a whole.
     Suspected,
     /// Tokens delivered to callers.
@@ -69,7 +69,7 @@
     /// From asking to the first event of a relayed stream.
     FirstEvent,
     /// Between two events of a relayed stream.
-    Pause,
+    EventInterval,
     /// From the loss of a relayed stream to its next event.
     Resume,
 }
@@ -105,7 +105,7 @@
 
 impl Reason {
     /// Whether no upstream took the request in: it was not there, or is another one by now.
-    pub fn never_taken_in(self) -> bool {
+    pub fn was_never_accepted(self) -> bool {
         matches!(self, Self::Leaving | Self::NotSent | Self::Replaced)
     }
 }
@@ -116,27 +116,27 @@
             Self::Admitted => write!(formatter, "admitted"),
             Self::Answered => write!(formatter, "answered"),
             Self::CallerGone => write!(formatter, "caller_gone"),
-            Self::EntryOdd(reason) => write!(formatter, "entry.odd.{reason}"),
+            Self::EntryInvalid(reason) => write!(formatter, "entry.odd.{reason}"),
             Self::FrameGap => write!(formatter, "frame.gap"),
             Self::FrameLate => write!(formatter, "frame.late"),
             Self::FrameRepeated => write!(formatter, "frame.repeated"),
             Self::Hedged => write!(formatter, "hedged"),
             Self::Invariant(invariant) => write!(formatter, "invariant.{invariant}"),
-            Self::LeavingTold => write!(formatter, "notice.told"),
-            Self::LimitTold => write!(formatter, "limit.told"),
+            Self::NoticeInvalid => write!(formatter, "notice.odd"),
             Self::NoticeLeaving => write!(formatter, "notice.leaving"),
             Self::NoticeLimit => write!(formatter, "notice.limit"),
-            Self::NoticeOdd => write!(formatter, "notice.odd"),
             Self::NoticeRest => write!(formatter, "notice.rest"),
             Self::NoticeUnknown => write!(formatter, "notice.unknown"),
             Self::Paused => write!(formatter, "paused"),
+            Self::PeerLeaving => write!(formatter, "notice.told"),
+            Self::PeerLimit => write!(formatter, "limit.told"),
             Self::Quarantined => write!(formatter, "quarantined"),
             Self::Refused(kind) => write!(formatter, "refused.{kind}"),
             Self::RefusedAgain => write!(formatter, "refused_again"),
             Self::Resumed(reason) => write!(formatter, "resumed.{reason}"),
             Self::Retried(reason) => write!(formatter, "retried.{reason}"),
             Self::StoreOutdated => write!(formatter, "store.outdated"),
-            Self::StoreReturned => write!(formatter, "store.returned"),
+            Self::StoreRestored => write!(formatter, "store.returned"),
             Self::Suspected => write!(formatter, "upstream.suspected"),
             Self::Tokens => write!(formatter, "tokens"),
             Self::UpstreamLost => write!(formatter, "upstream.lost"),
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -24,7 +24,7 @@
 /// the whole is known to about a third, and a data centre of a fleet of tens has more.
 const HEARD_LEAST: usize = 8;
 
-/// Part of what the slots serve up to which calls are admitted. With random arrivals at 6 slots and 24 waiting
+/// AdmittedShare of what the slots serve up to which calls are admitted. With random arrivals at 6 slots and 24 waiting
 /// one call in 60 is turned away at 0.95, one in 200 at 0.9.
 const FILL: f64 = 0.9;
 
@@ -33,12 +33,12 @@
 /// waits at a lone instance is not seen.
 const CALLS_PER_SLOT: std::ops::RangeInclusive<f64> = 1.6..=2.4;
 
-/// Part of what is served that callers who were refused before may have of it, where new ones would fill it:
+/// AdmittedShare of what is served that callers who were refused before may have of it, where new ones would fill it:
 /// their answers are late already. With more of it fewer are refused twice, and more are late.
 const RETURNED_PART: f64 = 0.1;
 
 /// Milliseconds by which a caller's time must be shorter than others' for it to have come back.
-pub(crate) const RETURNED_MS: u64 = 50;
+pub(crate) const RETRY_MARGIN_MS: u64 = 50;
 
 /// Weight of a new sample in the time that calls take, at least.
 const GAIN: f64 = 0.05;
@@ -65,11 +65,11 @@
 const STEPS: std::ops::RangeInclusive<f64> = 0.8..=1.05;
 const CORRECTIONS: std::ops::RangeInclusive<f64> = 0.25..=2.0;
 
-/// Part of what the slots serve from which on callers' own data centre is no longer preferred, and from which
+/// AdmittedShare of what the slots serve from which on callers' own data centre is no longer preferred, and from which
 /// on it does not count at all: its upstreams may be fewer than its callers need.
 const NEAR: std::ops::Range<f64> = 0.5..0.7;
 
-/// Part of what the slots serve from which on a service is full, and all instances are told at once, not only those of the own data
+/// AdmittedShare of what the slots serve from which on a service is full, and all instances are told at once, not only those of the own data
 /// centre along with something else. With 0.5, which is below the usual load of the large site, that alone added
 /// a half to the bytes between data centres.
 const FULL: f64 = 0.9;
@@ -78,24 +78,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// New calls a second.
-    pub asked: f64,
+    pub arrival_rate: f64,
     /// The call that ended last, if one has since the last word.
-    pub last: Option<Ended>,
+    pub last_call: Option<FinishedCall>,
     /// Name of the pool.
     pub pool: Arc<str>,
     /// Calls a second of callers that came back after a refusal.
-    pub returned: f64,
+    pub retry_rate: f64,
     /// Calls under way.
     pub running: u32,
     /// Milliseconds that a call takes while none waits; 0 if this instance has seen none.
-    pub takes_ms: f64,
+    pub service_time_ms: f64,
 }
 
 /// How long a call took, as one upstream answered it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Ended {
+pub struct FinishedCall {
     /// Time from sending to the answer, in milliseconds; for one that was turned away, that behind a full queue.
-    pub millis: u32,
+    pub duration_ms: u32,
     /// The number of the upstream's life.
     pub upstream: u64,
 }
@@ -109,54 +109,54 @@
 
 /// What an instance told, and when.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    asked: f64,
+struct PeerDemand {
+    arrival_rate: f64,
     at: Time,
-    returned: f64,
+    retry_rate: f64,
     running: u32,
-    takes_ms: f64,
+    service_time_ms: f64,
 }
 
 /// What all instances ask for.
 #[derive(Clone, Copy, Debug, Default)]
-struct Whole {
-    asked: f64,
-    returned: f64,
+struct FleetDemand {
+    arrival_rate: f64,
+    retry_rate: f64,
     running: f64,
     /// Milliseconds that a call takes while none waits, as the mean of what instances saw; 0 if none saw any.
-    takes_ms: f64,
+    service_time_ms: f64,
 }
 
 /// Which part of the calls is admitted; above 1 while there is room for more.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct AdmittedShare {
     /// Of new ones.
     new: f64,
     /// Of those whose callers came back.
-    returned: f64,
+    retry: f64,
 }
 
 /// What is known of the demand for one pool.
 #[derive(Clone, Debug)]
-pub(crate) struct Demands {
+pub(crate) struct DemandTracker {
     adjusted: Time,
-    asked: Rate,
+    arrivals: Rate,
     /// By how much more, or less, is admitted than slots and times say.
     correction: f64,
     /// The call that ended last, if the others were not told of it yet.
-    last: Option<Ended>,
+    last_call: Option<FinishedCall>,
     /// What is asked for, over what is served.
     load: f64,
     /// Time in which the answer to the last call was wanted, in milliseconds.
     objective_ms: f64,
-    others: HashMap<SocketAddr, Told>,
-    part: Part,
-    returned: Rate,
+    others: HashMap<SocketAddr, PeerDemand>,
+    admitted: AdmittedShare,
+    retries: Rate,
     /// Calls whose time was taken.
     samples: f64,
     /// Milliseconds that a call takes while none waits.
-    takes_ms: f64,
-    told: Time,
+    service_time_ms: f64,
+    broadcast_at: Time,
 }
 
 impl Rate {
@@ -174,83 +174,85 @@
     }
 }
 
-impl Part {
+impl AdmittedShare {
     const ALL: Self = Self {
         new: f64::INFINITY,
-        returned: f64::INFINITY,
+        retry: f64::INFINITY,
     };
 }
 
-impl Default for Demands {
+impl Default for DemandTracker {
     fn default() -> Self {
         Self {
             adjusted: Time::default(),
-            asked: Rate::default(),
+            arrivals: Rate::default(),
             correction: 1.0,
-            last: None,
+            last_call: None,
             load: 0.0,
             objective_ms: 0.0,
             others: HashMap::new(),
-            part: Part::ALL,
-            returned: Rate::default(),
+            admitted: AdmittedShare::ALL,
+            retries: Rate::default(),
             samples: 0.0,
-            takes_ms: 0.0,
-            told: Time::default(),
+            service_time_ms: 0.0,
+            broadcast_at: Time::default(),
         }
     }
 }
 
-impl Demands {
+impl DemandTracker {
     /// Another instance told what it is asked for.
-    fn hear(&mut self, from: SocketAddr, demand: &Demand, now: Time) {
-        let told = Told {
-            asked: demand.asked,
+    fn merge_peer(&mut self, from: SocketAddr, demand: &Demand, now: Time) {
+        let told = PeerDemand {
+            arrival_rate: demand.arrival_rate,
             at: now,
-            returned: demand.returned,
+            retry_rate: demand.retry_rate,
             running: demand.running,
-            takes_ms: demand.takes_ms,
+            service_time_ms: demand.service_time_ms,
         };
         self.others.insert(from, told);
     }
 
     /// Whether any instance was asked for anything.
     fn is_known(&self) -> bool {
-        self.asked.level + self.returned.level > 0.0 || !self.others.is_empty()
+        self.arrivals.level + self.retries.level > 0.0 || !self.others.is_empty()
     }
 
     /// A call was answered after some time, while none waited at the service.
     fn answered(&mut self, millis: u64) {
         self.samples += 1.0;
-        self.takes_ms += (millis as f64 - self.takes_ms) * (1.0 / self.samples).max(GAIN);
+        self.service_time_ms +=
+            (millis as f64 - self.service_time_ms) * (1.0 / self.samples).max(GAIN);
     }
 
     /// Milliseconds that a call takes while none waits; 0 if this instance has seen none.
-    pub fn takes_ms(&self) -> f64 {
-        self.takes_ms
+    pub fn service_time_ms(&self) -> f64 {
+        self.service_time_ms
     }
 
     /// Age from which on a call is hung, in milliseconds.
     fn hung_ms(&self) -> u64 {
-        if self.takes_ms == 0.0 {
+        if self.service_time_ms == 0.0 {
             return u64::MAX;
         }
-        (self.takes_ms * HUNG) as u64
+        (self.service_time_ms * HUNG) as u64
     }
 
     /// What all instances ask for, this one's own calls under way with them. Those that were not heard are
     /// believed to be like those that were.
-    fn whole(&self, running: u32, instances: u32, now: Time) -> Whole {
+    fn whole(&self, running: u32, instances: u32, now: Time) -> FleetDemand {
         let recent = self.others.values();
         let recent = recent.filter(|told| now.since(told.at) < KEPT_MS);
         let mut heard = 0;
-        let mut others = Whole::default();
-        let (mut takes_ms, mut known) = (self.takes_ms, u32::from(self.takes_ms > 0.0));
+        let mut others = FleetDemand::default();
+        let (mut service_time_ms, mut known) =
+            (self.service_time_ms, u32::from(self.service_time_ms > 0.0));
         for told in recent {
             heard += 1;
-            takes_ms += told.takes_ms;
-            known += u32::from(told.takes_ms > 0.0);
-            others.asked += told.asked;
-            others.returned += told.returned;
+            service_time_ms += told.service_time_ms;
+            known += u32::from(told.service_time_ms > 0.0);
+            others.arrival_rate += told.arrival_rate;
+            others.retry_rate += told.retry_rate;
             others.running += f64::from(told.running);
         }
         let missing = instances as usize - 1;
@@ -259,45 +261,45 @@
         } else {
             1.0
         };
-        Whole {
-            asked: self.asked.per_second(now) + others.asked * scale,
-            returned: self.returned.per_second(now) + others.returned * scale,
+        FleetDemand {
+            arrival_rate: self.arrivals.per_second(now) + others.arrival_rate * scale,
+            retry_rate: self.retries.per_second(now) + others.retry_rate * scale,
             running: f64::from(running) + others.running * scale,
-            takes_ms: takes_ms / f64::from(known.max(1)),
+            service_time_ms: service_time_ms / f64::from(known.max(1)),
         }
     }
 
     /// Takes in what all instances ask of so many slots.
-    fn adjust(&mut self, whole: Whole, slots: f64, wait: f64, now: Time) {
-        self.part = Part::ALL;
+    fn adjust(&mut self, whole: FleetDemand, slots: f64, wait: f64, now: Time) {
+        self.admitted = AdmittedShare::ALL;
         self.load = 0.0;
-        let asked = whole.asked + whole.returned;
-        if slots <= 0.0 || whole.takes_ms <= 0.0 || asked <= 0.0 {
+        let asked = whole.arrival_rate + whole.retry_rate;
+        if slots <= 0.0 || whole.service_time_ms <= 0.0 || asked <= 0.0 {
             return;
         }
-        let places = FILL * slots * 1_000.0 / whole.takes_ms;
+        let places = FILL * slots * 1_000.0 / whole.service_time_ms;
         let limits = places * self.correction < asked;
         if now.since(self.adjusted) >= TELL_MS {
             self.adjusted = now;
-            let aim = self.aim(whole.takes_ms, wait);
+            let aim = self.aim(whole.service_time_ms, wait);
             self.correct(whole.running / slots, aim, limits);
         }
         let served = places * self.correction;
-        let returned = (served - whole.asked).max(served * RETURNED_PART);
-        let new = served - returned.min(whole.returned);
+        let returned = (served - whole.arrival_rate).max(served * RETURNED_PART);
+        let new = served - returned.min(whole.retry_rate);
         self.load = asked / served;
-        self.part = Part {
-            new: new / whole.asked,
-            returned: returned / whole.returned,
+        self.admitted = AdmittedShare {
+            new: new / whole.arrival_rate,
+            retry: returned / whole.retry_rate,
         };
     }
 
     /// Calls under way for each slot that are aimed at while calls are refused: as many as have their answers in a part of the time
     /// wanted. With a fixed number a service whose calls take a fourth of that time was left idle by chance while a fifth of
     /// its calls were refused.
-    fn aim(&self, takes_ms: f64, wait: f64) -> f64 {
+    fn aim(&self, service_time_ms: f64, wait: f64) -> f64 {
         let (least, most) = (*CALLS_PER_SLOT.start(), *CALLS_PER_SLOT.end());
-        (self.objective_ms * wait / takes_ms).clamp(least, most)
+        (self.objective_ms * wait / service_time_ms).clamp(least, most)
     }
 
     /// Follows the calls under way for each slot: admits fewer where too many wait, also if what calls take is
@@ -316,27 +318,27 @@
 
     /// How much an upstream in the own data centre is preferred: 1 while the service is far from full, 0 when
     /// it is nearly so.
-    pub fn nearness(&self) -> f64 {
+    pub fn local_preference(&self) -> f64 {
         ((NEAR.end - self.load) / (NEAR.end - NEAR.start)).clamp(0.0, 1.0)
     }
 }
 
 impl Core {
     /// Another instance told what it is asked of a pool.
-    pub(crate) fn demanded(&mut self, from: SocketAddr, demand: &Demand) {
-        if let Some(ended) = demand.last {
+    pub(crate) fn record_peer_demand(&mut self, from: SocketAddr, demand: &Demand) {
+        if let Some(ended) = demand.last_call {
             self.note_ended(&demand.pool, ended);
         }
         let pool = self.pools.entry(demand.pool.clone()).or_default();
-        pool.demands.hear(from, demand, self.now);
+        pool.demands.merge_peer(from, demand, self.now);
     }
 
     /// Notes how long a call took at an upstream, here or at another instance.
-    fn note_ended(&mut self, pool: &str, ended: Ended) {
+    fn note_ended(&mut self, pool: &str, ended: FinishedCall) {
         let Some(pool) = self.pools.get(pool) else {
             return;
         };
-        let millis = f64::from(ended.millis);
+        let millis = f64::from(ended.duration_ms);
         for key in &pool.upstreams {
             let upstream = &mut self.upstreams[*key];
             if upstream.life.number() == ended.upstream {
@@ -352,7 +354,10 @@
 
     /// The upstream for a call while its service is nearly full: at random, those that answer sooner more
     /// often. So each is given what it serves, though they differ and none tells its load.
-    pub(crate) fn by_time(&mut self, candidates: &[upstream::Key]) -> Option<upstream::Key> {
+    pub(crate) fn choose_by_service_time(
+        &mut self,
+        candidates: &[upstream::Key],
+    ) -> Option<upstream::Key> {
         let known = |key: &&upstream::Key| self.upstreams[**key].takes_ms > 0.0;
         let known: Vec<f64> = candidates
             .iter()
@@ -362,12 +367,12 @@
         let mean = known.iter().sum::<f64>() / (known.len() as f64).max(1.0);
         let weight = |key: &upstream::Key| {
             let upstream = &self.upstreams[*key];
-            let takes_ms = if upstream.takes_ms > 0.0 {
+            let service_time_ms = if upstream.takes_ms > 0.0 {
                 upstream.takes_ms
             } else {
                 mean.max(1.0)
             };
-            f64::from(upstream.listed_slots) / takes_ms.powi(UPSTREAM_POWER)
+            f64::from(upstream.listed_slots) / service_time_ms.powi(UPSTREAM_POWER)
         };
         let weights: Vec<f64> = candidates.iter().map(weight).collect();
         let mut point = self.rng.random::<f64>() * weights.iter().sum::<f64>();
@@ -381,13 +386,13 @@
     }
 
     /// Whether upstreams of a pool are chosen by the time that they take.
-    pub(crate) fn is_pressed(&self, pool: &str) -> bool {
+    pub(crate) fn is_near_capacity(&self, pool: &str) -> bool {
         let pool = self.pools.get(pool);
-        self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.nearness() < 1.0)
+        self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.local_preference() < 1.0)
     }
 
     /// Whether a pool is asked for nearly all that its slots serve.
-    pub(crate) fn is_full(&self, pool: &str) -> bool {
+    pub(crate) fn is_at_capacity(&self, pool: &str) -> bool {
         let pool = self.pools.get(pool);
         self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.load >= FULL)
     }
@@ -399,7 +404,7 @@
         }
         let name: Arc<str> = request.service.pool().into();
         let now = self.now;
-        let came_back = request.waited_ms >= RETURNED_MS;
+        let came_back = request.waited_ms >= RETRY_MARGIN_MS;
         let objective_ms = request
             .service
             .relay()
@@ -407,31 +412,31 @@
         let demands = &mut self.pools.entry(name.clone()).or_default().demands;
         demands.objective_ms = objective_ms as f64;
         if came_back {
-            demands.returned.add(now);
+            demands.retries.add(now);
         } else {
-            demands.asked.add(now);
+            demands.arrivals.add(now);
         }
         self.measure_demand(&name);
         if self.is_limited(&self.pools[&name]) {
             // Permits admit, here and at the few other instances that have any.
             return Ok(());
         }
-        let part = self.pools[&name].demands.part;
-        let part = if came_back { part.returned } else { part.new };
+        let part = self.pools[&name].demands.admitted;
+        let part = if came_back { part.retry } else { part.new };
         if part >= 1.0 || self.rng.random::<f64>() < part {
             return Ok(());
         }
-        self.shortage(request);
+        self.record_shortage(request);
         Err(admission::Refusal {
             kind: Kind::Overloaded,
-            retry_after_ms: Some(self.come_back(request)),
+            retry_after_ms: Some(self.retry_after_ms(request)),
         })
     }
 
     /// Tells other instances what this one is asked for.
-    pub(crate) fn tell_demands(&mut self) {
+    pub(crate) fn broadcast_demand(&mut self) {
         let now = self.now;
-        let due = |pool: &core::Pool| now.since(pool.demands.told) >= TELL_MS;
+        let due = |pool: &core::Pool| now.since(pool.demands.broadcast_at) >= TELL_MS;
         // An instance that is asked nothing says so, or it would be believed to be like the others.
         let asks = |pool: &core::Pool| pool.demands.is_known();
         let due: Vec<Arc<str>> = self
@@ -446,19 +451,19 @@
             let Some(pool) = self.pools.get_mut(&name) else {
                 continue;
             };
-            pool.demands.told = now;
+            pool.demands.broadcast_at = now;
             let pressed = pool.demands.load >= FULL;
-            let last = pool.demands.last.take().filter(|_| pressed);
+            let last_call = pool.demands.last_call.take().filter(|_| pressed);
             pool.demands
                 .others
                 .retain(|_, told| now.since(told.at) < KEPT_MS);
             let demand = Demand {
-                asked: pool.demands.asked.per_second(now),
-                last,
+                arrival_rate: pool.demands.arrivals.per_second(now),
+                last_call,
                 pool: name,
-                returned: pool.demands.returned.per_second(now),
+                retry_rate: pool.demands.retries.per_second(now),
                 running,
-                takes_ms: pool.demands.takes_ms,
+                service_time_ms: pool.demands.service_time_ms,
             };
             self.effects.push(Effect::Demand { demand, pressed });
         }
@@ -466,7 +471,7 @@
 
     /// Notes that a call ended, with an answer or turned away. While calls wait at the service the time of an
     /// answer is not its own.
-    pub(crate) fn time_call(&mut self, name: &str, attempt: &Attempt, answered: bool) {
+    pub(crate) fn record_call_duration(&mut self, name: &str, attempt: &Attempt, answered: bool) {
         let running = self.under_way(name);
         let (instances, now) = (self.instances, self.now);
         let upstream = self.upstreams.get(attempt.upstream);
@@ -475,23 +480,23 @@
             return;
         };
         let whole = pool.demands.whole(running, instances, now);
-        let slots = self.slots(pool, whole.takes_ms);
+        let slots = self.slots(pool, whole.service_time_ms);
         let Some(pool) = self.pools.get_mut(name) else {
             return;
         };
         let millis = if answered {
             now.since(attempt.sent_at)
         } else {
-            (whole.takes_ms * TURNED_AWAY) as u64
+            (whole.service_time_ms * TURNED_AWAY) as u64
         };
-        if answered && (whole.running < slots || whole.takes_ms == 0.0) {
+        if answered && (whole.running < slots || whole.service_time_ms == 0.0) {
             pool.demands.answered(millis);
         }
-        let ended = Ended {
-            millis: millis as u32,
+        let ended = FinishedCall {
+            duration_ms: millis as u32,
             upstream,
         };
-        pool.demands.last = Some(ended);
+        pool.demands.last_call = Some(ended);
         self.note_ended(name, ended);
     }
 
@@ -503,7 +508,7 @@
             return;
         };
         let whole = pool.demands.whole(running, instances, now);
-        let slots = self.slots(pool, whole.takes_ms);
+        let slots = self.slots(pool, whole.service_time_ms);
         if let Some(pool) = self.pools.get_mut(name) {
             pool.demands
                 .adjust(whole, slots, self.settings.calls.wait, now);
@@ -512,10 +517,10 @@
 
     /// Slots of a pool's upstreams that take work, by the list. One that names a limit counts with the slots that so many
     /// calls keep busy.
-    fn slots(&self, pool: &core::Pool, takes_ms: f64) -> f64 {
+    fn slots(&self, pool: &core::Pool, service_time_ms: f64) -> f64 {
         let slots = |upstream: &Upstream| {
             let listed = f64::from(upstream.listed_slots);
-            let busy = |part: limit::Part| part.rate().per_second() * takes_ms / 1_000.0;
+            let busy = |part: limit::Part| part.rate().per_second() * service_time_ms / 1_000.0;
             upstream.part.map_or(listed, |part| busy(part).min(listed))
         };
         self.upstreams_of(pool)
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -37,11 +37,15 @@
         if request.work.relay().is_none() {
             return;
         }
-        let until = self.may_wait_until(request);
+        let until = self.queue_deadline(request);
         let request = &mut self.requests[key];
         request.send_by = until;
         let pool: Arc<str> = request.service.pool().into();
-        self.pools.entry(pool).or_default().gauge.short(self.now);
+        self.pools
+            .entry(pool)
+            .or_default()
+            .estimates
+            .record_shortage(self.now);
         self.tell_waiting(key);
     }
 
@@ -59,12 +63,12 @@
                 self.refuse_guilty(key);
                 continue;
             }
-            let Some(upstream) = self.choose(key, waiting.resume) else {
+            let Some(upstream) = self.choose(key, waiting.is_resume) else {
                 return;
             };
             if let Some(pool) = self.pools.get_mut(name) {
                 pool.queue.pop(self.now);
-                self.requests[key].counted |= !waiting.resume;
+                self.requests[key].counted |= !waiting.is_resume;
             }
             self.start(key, upstream);
         }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -190,18 +190,18 @@
         print: Print,
     },
     /// Hold ready what is known of unplanned ends of upstreams, which has changed.
-    Keep(Account),
+    Keep(CrashHistory),
     /// Log that a request is refused from now on, and have it refused after the loss of all instances too.
     Refuse {
         /// The ends that it is guilty by.
-        ends: Account,
+        ends: CrashHistory,
         /// Whether this instance saw one of them itself.
         own: bool,
         /// The request.
         print: Print,
     },
     /// Tell other instances of unplanned ends of upstreams.
-    Tell(Account),
+    Tell(CrashHistory),
 }
 
 /// What the core wants done.
@@ -301,7 +301,7 @@
     /// Give a caller the head of a stream that the edge holds.
     Open(request::Caller),
     /// Tell other instances how fast the engines of a pool work.
-    Pace(Pace),
+    Pace(EngineSpeed),
     /// Give a caller one event of a relayed stream.
     Pass {
         /// The event.
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -159,7 +159,7 @@
     /// A configuration was read from the platform or a peer.
     Config(Arc<Config>),
     /// Another instance, or the store, told of unplanned ends of upstreams.
-    Crashed(Box<Account>),
+    Crashed(Box<CrashHistory>),
     /// Another instance told what it is asked of a pool of plain services.
     Demanded {
         /// What it is asked.
@@ -222,7 +222,7 @@
     /// A relayed stream began; the edge holds its head.
     Opened(attempt::Key),
     /// Another instance told how fast the engines of a pool work.
-    Paced(Pace),
+    Paced(EngineSpeed),
     /// One whole event of a relayed stream.
     Passed {
         /// The attempt.
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -126,7 +126,7 @@
             self.count_refused(&request);
         }
         let retry_after_ms = kind.answer().retry.then(|| match request.work {
-            Work::Relay(_) => self.come_back(&request),
+            Work::Relay(_) => self.retry_after_ms(&request),
             Work::Call { .. } | Work::Generate { .. } => {
                 let rest = self.come_back_rested(&request);
                 rest.unwrap_or_else(|| {
@@ -190,7 +190,7 @@
     /// Whether a request may be sent a second time: what no upstream took in may, everything else needs a
     /// permit. Each upstream that is gone is met once, so this adds no load to those that are there.
     pub(crate) fn may_retry(&mut self, key: request::Key, reason: counter::Reason) -> bool {
-        if self.settings.shared.unsent && reason.never_taken_in() {
+        if self.settings.shared.unsent && reason.was_never_accepted() {
             return true;
         }
         let pool = self.requests[key].service.pool();
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -18,8 +18,8 @@
 pub mod detector;
 pub mod digest;
 pub mod effect;
+pub mod estimates;
 pub mod event;
-pub mod gauge;
 pub mod informer;
 pub mod invariant;
 pub mod kind;
@@ -41,15 +41,15 @@
 pub mod upstream;
 
 mod admission;
+mod capacity;
 mod dispatch;
 mod failure;
-mod patience;
 mod place;
 mod relay;
-mod room;
 mod route;
 mod stream;
 mod suspicion;
+mod timeout;
 mod usage;
 mod version;
 mod watch;
@@ -66,12 +66,12 @@
     config::{Config, Policy, Priority},
     counter::{Counter, Timing},
     cursor::Cursor,
-    demand::{Demand, Demands},
+    demand::{Demand, DemandTracker},
     detector::Detector,
     digest::Digest,
     effect::Effect,
+    estimates::{EngineSpeed, PoolEstimates},
     event::{Event, Failure, Listed, Piece},
-    gauge::{Gauge, Pace},
     invariant::Invariant,
     kind::Kind,
     lesson::Why,
@@ -82,14 +82,14 @@
     notice::Notice,
     position::Position,
     print::Print,
-    quarantine::Account,
+    quarantine::CrashHistory,
     queue::Queue,
     rand::{RngExt, SeedableRng, seq::SliceRandom},
     rand_pcg::Pcg64Mcg,
     request::{Request, State, Work},
     role::{Role, Turn},
     roster::{Change, Roster, Word, Worth},
-    settings::{Guilt, Resume, Routing, Settings},
+    settings::{QuarantineRule, ResumeMode, Routing, Settings},
     sighting::Sighting,
     slotmap::{SecondaryMap, SlotMap, new_key_type},
     std::{
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -171,7 +171,7 @@
     pub(crate) fn limited(&mut self, key: upstream::Key, attempt: attempt::Key, limit: Limit) {
         match limit {
             Limit::None => self.unlimited(key, attempt),
-            Limit::Odd => self.count(Counter::NoticeOdd),
+            Limit::Odd => self.count(Counter::NoticeInvalid),
             Limit::Rate(rate) => {
                 self.count(Counter::NoticeLimit);
                 self.named(key, rate);
@@ -214,7 +214,7 @@
         let Some(key) = self.lives.get(&life).copied() else {
             return;
         };
-        self.count(Counter::LimitTold);
+        self.count(Counter::PeerLimit);
         match rate {
             None => self.lift(key),
             Some(rate) => {
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -138,7 +138,7 @@
         match notice.rest {
             Rest::For(millis) => self.rest(key, millis),
             Rest::None => {}
-            Rest::Odd => self.count(Counter::NoticeOdd),
+            Rest::Odd => self.count(Counter::NoticeInvalid),
         }
     }
 
@@ -175,7 +175,7 @@
         let Some(key) = self.lives.get(&life).copied() else {
             return;
         };
-        self.count(Counter::LeavingTold);
+        self.count(Counter::PeerLeaving);
         self.hint(key);
     }
 
@@ -202,14 +202,14 @@
     /// requests again, also where the caller waits less long. `None` if one does not rest.
     pub(crate) fn come_back_rested(&mut self, request: &Request) -> Option<u64> {
         let end = self.rested_at(request)?;
-        let rest = end.since(self.now).max(room::COME_BACK_MS);
+        let rest = end.since(self.now).max(capacity::MIN_RETRY_AFTER_MS);
         Some(self.rng.random_range(rest..=rest + rest / SPREAD))
     }
 
     /// Whether it is known that a request which so many others go before finds no upstream as long as it may wait, since all rest or
     /// have named limits.
     pub(crate) fn is_outlasted(&self, request: &Request, ahead: usize) -> bool {
-        let until = self.may_wait_until(request).min(request.deadline);
+        let until = self.queue_deadline(request).min(request.deadline);
         let until = until.min(self.last_begin(request));
         let opens = self.opens_at(request, ahead);
         opens.is_some_and(|opens| opens >= until)
@@ -219,7 +219,7 @@
     /// were let wait up to the time wanted itself were all late.
     fn last_begin(&self, request: &Request) -> Time {
         let pool = self.pools.get(request.service.pool());
-        let takes = pool.map_or(0.0, |pool| pool.demands.takes_ms());
+        let takes = pool.map_or(0.0, |pool| pool.demands.service_time_ms());
         let last = request.wanted_by.0.saturating_sub(takes as u64);
         request.send_by.max(Time(last))
     }
@@ -231,10 +231,10 @@
         if !self.is_outlasted(request, ahead) {
             return Ok(());
         }
-        self.shortage(request);
+        self.record_shortage(request);
         Err(admission::Refusal {
             kind: Kind::Overloaded,
-            retry_after_ms: Some(self.come_back(request)),
+            retry_after_ms: Some(self.retry_after_ms(request)),
         })
     }
 
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -54,14 +54,14 @@
             return Some(prefer);
         }
         let request = &self.requests[key];
-        if !self.may_call(request) {
+        if !self.may_send_call(request) {
             return None;
         }
         let own = self.own_usage();
-        let candidates = self.with_room(request, self.placeable(request), &own);
-        let pressed = !request.service.streams() && self.is_pressed(request.service.pool());
+        let candidates = self.upstreams_with_capacity(request, self.placeable(request), &own);
+        let pressed = !request.service.streams() && self.is_near_capacity(request.service.pool());
         if pressed {
-            return self.by_time(&candidates);
+            return self.choose_by_service_time(&candidates);
         }
         self.cheapest(key, candidates, &own)
     }
@@ -75,7 +75,7 @@
         own: &Own,
     ) -> Option<upstream::Key> {
         let relay = self.requests[key].service.relay()?;
-        let wanted = self.settings.relay_resume == Resume::Copy;
+        let wanted = self.settings.relay_resume == ResumeMode::Copy;
         if !wanted || !relay.copies || !relay.resumable {
             return None;
         }
@@ -87,7 +87,7 @@
             .into_iter()
             .partition(|other| self.upstreams[*other].data_centre != home);
         let candidates = if far.is_empty() { near } else { far };
-        let candidates = self.with_room_for_copy(request, candidates, own);
+        let candidates = self.upstreams_with_copy_capacity(request, candidates, own);
         self.cheapest(key, candidates, own)
     }
 
@@ -185,7 +185,7 @@
     /// How much of the distance counts: all of it but for a plain service that is nearly full.
     fn nearness(&self, pool: &str) -> f64 {
         let pool = self.pools.get(pool);
-        pool.map_or(1.0, |pool| pool.demands.nearness())
+        pool.map_or(1.0, |pool| pool.demands.local_preference())
     }
 
     /// Upstreams of a pool that were lost of late, by data centre.
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 /// Ends by which a request is guilty: the users count what is sent behind the third.
-pub const GUILTY: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Ends by which a request is guilty though others explain them: of two that are sent together each would hide behind the
 /// other. Two more than three are within what the users allow behind the third.
@@ -27,7 +27,7 @@
 
 /// What is known of a request that was at an upstream when it ended. Of two that are told the later one counts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Part {
+pub enum Involvement {
     /// Nothing of its answer had come from there, or for less than half a second.
     Fresh,
     /// Its answer had come from there for longer.
@@ -38,34 +38,34 @@
 
 /// The unplanned end of one life of an upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct End {
+pub struct Crash {
     /// When the first instance saw it.
     pub at: Time,
     /// The requests that ran or waited there.
-    pub there: BTreeMap<Print, Part>,
+    pub requests: BTreeMap<Print, Involvement>,
 }
 
 /// Unplanned ends of upstreams.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Account {
-    ends: BTreeMap<Life, End>,
+pub struct CrashHistory {
+    crashes: BTreeMap<Life, Crash>,
 }
 
-impl Account {
+impl CrashHistory {
     /// Notes that a request was at an upstream that ended; whether that is news.
-    pub fn add(&mut self, life: Life, print: Print, part: Part, at: Time) -> bool {
-        let end = self.ends.entry(life).or_insert_with(|| End {
+    pub fn record(&mut self, life: Life, print: Print, part: Involvement, at: Time) -> bool {
+        let end = self.crashes.entry(life).or_insert_with(|| Crash {
             at,
-            there: BTreeMap::new(),
+            requests: BTreeMap::new(),
         });
         end.at = end.at.min(at);
-        if end.there.len() >= THERE && !end.there.contains_key(&print) {
+        if end.requests.len() >= THERE && !end.requests.contains_key(&print) {
             return false;
         }
-        let known = end.there.insert(print, part);
+        let known = end.requests.insert(print, part);
         let before = known.filter(|before| *before >= part);
         if let Some(before) = before {
-            end.there.insert(print, before);
+            end.requests.insert(print, before);
         }
         before.is_none()
     }
@@ -74,53 +74,53 @@
     #[must_use]
     pub fn clear(&mut self, print: Print) -> Self {
         let mut cleared = Self::default();
-        for (life, end) in &mut self.ends {
-            if let Some(part) = end.there.get_mut(&print)
-                && *part != Part::Cleared
+        for (life, end) in &mut self.crashes {
+            if let Some(part) = end.requests.get_mut(&print)
+                && *part != Involvement::Cleared
             {
-                *part = Part::Cleared;
-                cleared.add(*life, print, Part::Cleared, end.at);
+                *part = Involvement::Cleared;
+                cleared.record(*life, print, Involvement::Cleared, end.at);
             }
         }
         cleared
     }
 
     /// The ends at which a request was, of which it was not cleared.
-    pub fn lives(&self, print: Print) -> impl Iterator<Item = Life> {
-        let there = move |end: &End| {
-            end.there
+    pub fn crashes_of(&self, print: Print) -> impl Iterator<Item = Life> {
+        let there = move |end: &Crash| {
+            end.requests
                 .get(&print)
-                .is_some_and(|part| *part != Part::Cleared)
+                .is_some_and(|part| *part != Involvement::Cleared)
         };
-        let ends = self.ends.iter();
+        let ends = self.crashes.iter();
         ends.filter(move |(_, end)| there(end))
             .map(|(life, _)| *life)
     }
 
     /// Ends in the order of their lives.
-    pub fn ends(&self) -> impl Iterator<Item = (Life, &End)> {
-        self.ends.iter().map(|(life, end)| (*life, end))
+    pub fn crashes(&self) -> impl Iterator<Item = (Life, &Crash)> {
+        self.crashes.iter().map(|(life, end)| (*life, end))
     }
 
     /// Whether the end of a life is known.
-    pub fn has(&self, life: Life) -> bool {
-        self.ends.contains_key(&life)
+    pub fn contains(&self, life: Life) -> bool {
+        self.crashes.contains_key(&life)
     }
 
     /// Whether no end is known.
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty()
+        self.crashes.is_empty()
     }
 
     /// Ends known.
     pub fn len(&self) -> usize {
-        self.ends.len()
+        self.crashes.len()
     }
 
     /// What accounts that hold the same have in common, whatever order they were told in; 0 for an empty one.
     pub fn digest(&self) -> u64 {
-        let parts = self.ends.iter().flat_map(|(life, end)| {
-            let there = end.there.iter();
+        let parts = self.crashes.iter().flat_map(|(life, end)| {
+            let there = end.requests.iter();
             there.map(|(print, part)| mix(life.number() ^ mix(print.0 ^ (*part as u64 + 1))))
         });
         parts.fold(0, |digest, part| digest ^ part)
@@ -130,10 +130,10 @@
     #[must_use]
     pub fn merge(&mut self, other: &Self) -> Self {
         let mut news = Self::default();
-        for (life, end) in &other.ends {
-            for (print, part) in &end.there {
-                if self.add(*life, *print, *part, end.at) {
-                    news.add(*life, *print, *part, end.at);
+        for (life, end) in &other.crashes {
+            for (print, part) in &end.requests {
+                if self.record(*life, *print, *part, end.at) {
+                    news.record(*life, *print, *part, end.at);
                 }
             }
         }
@@ -142,42 +142,44 @@
 
     /// The part of it that one request is guilty by.
     #[must_use]
-    pub fn of(&self, print: Print) -> Self {
+    pub fn evidence_for(&self, print: Print) -> Self {
         let mut part = Self::default();
-        for life in self.lives(print) {
-            let end = &self.ends[&life];
-            part.add(life, print, end.there[&print], end.at);
+        for life in self.crashes_of(print) {
+            let end = &self.crashes[&life];
+            part.record(life, print, end.requests[&print], end.at);
         }
         part
     }
 
     /// Whether an end has lapsed.
-    pub fn lapses(&self, now: Time) -> bool {
-        self.ends.values().any(|end| now.since(end.at) >= LAPSES_MS)
+    pub fn has_expired(&self, now: Time) -> bool {
+        self.crashes
+            .values()
+            .any(|end| now.since(end.at) >= LAPSES_MS)
     }
 
     /// Forgets ends that lapsed, and those beyond what is kept.
-    pub fn trim(&mut self, rule: Guilt, now: Time) {
-        self.ends.retain(|_, end| now.since(end.at) < LAPSES_MS);
-        if self.ends.len() <= KEPT {
+    pub fn evict(&mut self, rule: QuarantineRule, now: Time) {
+        self.crashes.retain(|_, end| now.since(end.at) < LAPSES_MS);
+        if self.crashes.len() <= KEPT {
             return;
         }
-        let guilty = self.guilty(rule);
-        let condemns = |end: &End| end.there.keys().any(|print| guilty.contains_key(print));
-        let order = |(life, end): (&Life, &End)| (condemns(end), end.at, *life);
-        let mut ends: Vec<(bool, Time, Life)> = self.ends.iter().map(order).collect();
+        let guilty = self.quarantined(rule);
+        let condemns = |end: &Crash| end.requests.keys().any(|print| guilty.contains_key(print));
+        let order = |(life, end): (&Life, &Crash)| (condemns(end), end.at, *life);
+        let mut ends: Vec<(bool, Time, Life)> = self.crashes.iter().map(order).collect();
         ends.sort_unstable();
         for (_, _, life) in &ends[..ends.len() - KEPT] {
-            self.ends.remove(life);
+            self.crashes.remove(life);
         }
     }
 
     /// The guilty requests, each with the ends that it is guilty by.
-    pub fn guilty(&self, rule: Guilt) -> BTreeMap<Print, BTreeSet<Life>> {
+    pub fn quarantined(&self, rule: QuarantineRule) -> BTreeMap<Print, BTreeSet<Life>> {
         match rule {
-            Guilt::Explained => self.unexplained(),
-            Guilt::Lives => self.often(),
-            Guilt::Off => BTreeMap::new(),
+            QuarantineRule::Explained => self.unexplained(),
+            QuarantineRule::Lives => self.often(),
+            QuarantineRule::Off => BTreeMap::new(),
         }
     }
 
@@ -185,7 +187,7 @@
     /// no other.
     fn unexplained(&self) -> BTreeMap<Print, BTreeSet<Life>> {
         let mut trial = Trial::default();
-        let mut ends: Vec<(Life, &End)> = self.ends().collect();
+        let mut ends: Vec<(Life, &Crash)> = self.crashes().collect();
         ends.sort_unstable_by_key(|(life, end)| (end.at, *life));
         for (life, end) in ends {
             trial.hear(life, end);
@@ -196,21 +198,21 @@
     /// Who is guilty by the number of ends alone.
     fn often(&self) -> BTreeMap<Print, BTreeSet<Life>> {
         let mut lives: BTreeMap<Print, BTreeSet<Life>> = BTreeMap::new();
-        for (life, end) in &self.ends {
+        for (life, end) in &self.crashes {
             for (print, _) in end.suspects() {
                 lives.entry(print).or_default().insert(*life);
             }
         }
-        lives.retain(|_, lives| lives.len() >= GUILTY);
+        lives.retain(|_, lives| lives.len() >= QUARANTINE_THRESHOLD);
         lives
     }
 }
 
-impl End {
+impl Crash {
     /// The requests that were there, without those that were cleared of it.
-    fn suspects(&self) -> impl Iterator<Item = (Print, Part)> {
-        let there = self.there.iter().map(|(print, part)| (*print, *part));
-        there.filter(|(_, part)| *part != Part::Cleared)
+    fn suspects(&self) -> impl Iterator<Item = (Print, Involvement)> {
+        let there = self.requests.iter().map(|(print, part)| (*print, *part));
+        there.filter(|(_, part)| *part != Involvement::Cleared)
     }
 }
 
@@ -233,8 +235,8 @@
 }
 
 impl Trial {
-    fn hear(&mut self, life: Life, end: &End) {
-        let is_guilty = |(print, _): (Print, Part)| self.guilty.contains_key(&print);
+    fn hear(&mut self, life: Life, end: &Crash) {
+        let is_guilty = |(print, _): (Print, Involvement)| self.guilty.contains_key(&print);
         let explained = end.suspects().any(is_guilty);
         for (print, part) in end.suspects() {
             if let Some(lives) = self.guilty.get_mut(&print) {
@@ -242,7 +244,7 @@
                 continue;
             }
             let suspect = self.suspects.entry(print).or_default();
-            suspect.fresh += usize::from(part == Part::Fresh);
+            suspect.fresh += usize::from(part == Involvement::Fresh);
             suspect.lives.insert(life);
             if !explained {
                 suspect.own.insert(life);
@@ -255,8 +257,9 @@
 
     /// One that was at enough ends; of several the one that nobody explains the most of, and that had run the least.
     fn worst(&self) -> Option<(Print, Suspect)> {
-        let often =
-            |suspect: &Suspect| suspect.own.len() >= GUILTY || suspect.lives.len() >= GUILTY_ANYWAY;
+        let often = |suspect: &Suspect| {
+            suspect.own.len() >= QUARANTINE_THRESHOLD || suspect.lives.len() >= GUILTY_ANYWAY
+        };
         let often = self.suspects.iter().filter(|(_, suspect)| often(suspect));
         let worst = often.max_by_key(|(_, suspect)| (suspect.own.len(), suspect.fresh));
         worst.map(|(print, suspect)| (*print, suspect.clone()))
@@ -266,7 +269,7 @@
     fn convict(&mut self, print: Print, worst: &Suspect) {
         let alike = |other: &Print, suspect: &mut Suspect| {
             let same = suspect.own == worst.own && suspect.fresh == worst.fresh;
-            *other == print || (same && worst.own.len() >= GUILTY)
+            *other == print || (same && worst.own.len() >= QUARANTINE_THRESHOLD)
         };
         let alike = self.suspects.extract_if(.., alike);
         self.guilty
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting work: by priority, and within a priority shared fairly between customers by weight.
+//! NextRequest work: by priority, and within a priority shared fairly between customers by weight.
 
 use super::*;
 
@@ -39,11 +39,11 @@
 
 /// The request to send next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Waiting {
+pub struct NextRequest {
     /// The request.
     pub request: request::Key,
     /// Whether it had been sent before.
-    pub resume: bool,
+    pub is_resume: bool,
 }
 
 /// What a customer has of a pool at this instance.
@@ -179,17 +179,17 @@
     }
 
     /// The request to send next.
-    pub fn peek(&self) -> Option<Waiting> {
+    pub fn peek(&self) -> Option<NextRequest> {
         if let Some(request) = self.resumes.front() {
-            return Some(Waiting {
+            return Some(NextRequest {
                 request: *request,
-                resume: true,
+                is_resume: true,
             });
         }
         let (priority, customer) = self.select()?;
-        Some(Waiting {
+        Some(NextRequest {
             request: self.classes.get(&priority)?.front(customer)?,
-            resume: false,
+            is_resume: false,
         })
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// A request that was taken by `pop` as new work has ended.
-    pub fn ended(&mut self, customer: &config::Customer) {
+    pub fn finish(&mut self, customer: &config::Customer) {
         if let Some(share) = self.shares.get_mut(&customer.name) {
             share.running -= 1;
         }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -21,7 +21,7 @@
             return;
         };
         let owner = attempt.request;
-        self.called(&attempt, true);
+        self.record_call_result(&attempt, true);
         if verdict == event::Verdict::Fault {
             self.upstreams[attempt.upstream].trouble.add(self.now);
             let request = &mut self.requests[owner];
@@ -46,7 +46,7 @@
     /// full its second sending takes the place of a call that could be in time.
     fn may_repeat_fault(&self, key: request::Key) -> bool {
         let request = &self.requests[key];
-        let crowds = !request.service.streams() && self.is_full(request.service.pool());
+        let crowds = !request.service.streams() && self.is_at_capacity(request.service.pool());
         request.service.repeatable && (self.settings.calls.second || !crowds)
     }
 
@@ -130,15 +130,15 @@
         let request = &mut self.requests[key];
         let timed = match (request.passage.lost_at.take(), request.passage.event_at) {
             (Some(lost), Some(_)) => (Timing::Resume, lost),
-            (None, Some(last)) => (Timing::Pause, last),
+            (None, Some(last)) => (Timing::EventInterval, last),
             (_, None) => (Timing::FirstEvent, request.asked),
         };
         request.passage.event_at = Some(self.now);
         let (timing, since) = timed;
-        if timing == Timing::Pause
+        if timing == Timing::EventInterval
             && let Some(pool) = self.pools.get_mut(request.service.pool())
         {
-            pool.gauge.event(self.now.since(since));
+            pool.estimates.record_event_interval(self.now.since(since));
         }
         self.effects
             .push(Effect::Timed(timing, self.now.since(since)));
@@ -154,16 +154,18 @@
         let Some(pool) = self.pools.get_mut(&name).filter(|_| fresh) else {
             return;
         };
-        let pace = pool.gauge.read(name, attempt.ahead_tokens, took, self.now);
+        let pace = pool
+            .estimates
+            .record_prefill(name, attempt.ahead_tokens, took, self.now);
         if let Some(pace) = pace.filter(|_| self.settings.shared.paces) {
             self.effects.push(Effect::Pace(pace));
         }
     }
 
     /// Another instance told how fast the engines of a pool work.
-    pub(crate) fn paced(&mut self, pace: &Pace) {
+    pub(crate) fn paced(&mut self, pace: &EngineSpeed) {
         let pool = self.pools.entry(pace.pool.clone()).or_default();
-        pool.gauge.hear(pace);
+        pool.estimates.merge_peer_sample(pace);
     }
 
     /// Another instance told of a stream.
@@ -176,8 +178,8 @@
             let ahead = self.sightings.usage(upstream).reading_tokens;
             let name = self.upstreams[upstream].pool.clone();
             let pool = self.pools.entry(name).or_default();
-            pool.gauge.started(self.now);
-            if let Some(millis) = pool.gauge.known_reading(ahead + sighting.tokens) {
+            pool.estimates.record_stream_start(self.now);
+            if let Some(millis) = pool.estimates.known_prefill_ms(ahead + sighting.tokens) {
                 reading_ms = millis;
             }
         }
@@ -235,7 +237,7 @@
         let ahead_tokens = self.usage(&own, upstream).reading_tokens;
         let request = &self.requests[owner];
         if let Some(pool) = self.pools.get_mut(request.service.pool()) {
-            pool.gauge.started(self.now);
+            pool.estimates.record_stream_start(self.now);
         }
         let attempt = &mut self.attempts[key];
         attempt.ahead_tokens = ahead_tokens;
@@ -279,7 +281,7 @@
                 counter::Reason::Replaced
             }
         };
-        self.called(attempt, false);
+        self.record_call_result(attempt, false);
         self.note_lost(attempt, reason);
         if failure.not_run() {
             let passage = &mut self.requests[owner].passage;
@@ -325,7 +327,7 @@
             return false;
         };
         let repeatable = request.service.repeatable || !request.may_have_run;
-        let resumes = relay.resumable && self.settings.relay_resume != Resume::None;
+        let resumes = relay.resumable && self.settings.relay_resume != ResumeMode::None;
         let whole = !request.passage.opened || resumes;
         let reached = request.passage.reached < relay.attempts_max.max(1);
         let sent = request.number < self.settings.attempts_max;
@@ -382,7 +384,7 @@
             };
             // A prompt that is only read slowly would be read no sooner where there is no room.
             let slow = relay.streams && !attempt.started && attempt.copy.is_none() && !doubted;
-            if lost && !(slow && self.lacks_room(request)) {
+            if lost && !(slow && self.lacks_capacity(request)) {
                 if silent {
                     self.blame(key);
                 } else {
@@ -399,7 +401,7 @@
         if attempt.started {
             let request = &self.requests[attempt.request];
             let pool = self.pools.get(request.service.pool());
-            let usual = pool.map_or(0, |pool| pool.gauge.event_ms());
+            let usual = pool.map_or(0, |pool| pool.estimates.event_interval_ms());
             self.settings.relay_stall_ms.max(usual * STALL_EVENTS)
         } else if doubted {
             self.settings.relay_stall_ms
@@ -486,8 +488,8 @@
         if let Some(pool) = self.pools.get_mut(request.service.pool())
             && let Some(relay) = request.work.relay()
         {
-            pool.gauge
-                .answered(request.passage.position, relay.answer_tokens);
+            pool.estimates
+                .record_answer(request.passage.position, relay.answer_tokens);
         }
         self.note(&request, effect::What::Answered, Some(upstream));
         self.tell_over(&request, sighting::Stage::Ended);
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -85,7 +85,7 @@
     /// Upstreams that may be sent this request: usable, and with room if the way knows room.
     fn candidates(&self, key: request::Key, resume: bool) -> Vec<upstream::Key> {
         let usable = self.usable(key);
-        if !self.settings.routing.knows_room() {
+        if !self.settings.routing.is_capacity_aware() {
             return usable;
         }
         let limit = if resume {
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -32,14 +32,14 @@
     ];
 
     /// Whether work waits at the instance until an upstream is believed to have room.
-    pub fn knows_room(self) -> bool {
+    pub fn is_capacity_aware(self) -> bool {
         matches!(self, Self::Headroom | Self::Prefix | Self::TwoChoices)
     }
 }
 
 /// By which rule a request is found to end the upstreams that run it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Guilt {
+pub enum QuarantineRule {
     /// By three ends that no other guilty request explains, or by five. Refuses half as many requests that were beside such
     /// ones, 53 in place of 104 of 17,847 in virtual time with five of them a fleet; but two of 600 that end upstreams together
     /// hid behind each other for longer than the users allow.
@@ -50,7 +50,7 @@
     Off,
 }
 
-impl Guilt {
+impl QuarantineRule {
     /// Every rule, with its name in settings.
     pub const ALL: [(&'static str, Self); 3] = [
         ("explained", Self::Explained),
@@ -65,14 +65,14 @@
 
 /// Which instances have a part of the limit that an upstream names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Limits {
+pub enum LimitHolders {
     /// All of them; only shows what few are worth.
     All,
     /// Some for each request a second.
     Few,
 }
 
-impl Limits {
+impl LimitHolders {
     /// Every way, with its name in settings.
     pub const ALL: [(&'static str, Self); 2] = [("all", Self::All), ("few", Self::Few)];
 
@@ -91,7 +91,7 @@
 
 /// How a relayed stream goes on whose upstream was lost; all but the first only show what it is worth.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Resume {
+pub enum ResumeMode {
     /// From a copy of its memory at another upstream, else by reading the prompt anew.
     Copy,
     /// By reading the prompt anew at another upstream.
@@ -100,7 +100,7 @@
     None,
 }
 
-impl Resume {
+impl ResumeMode {
     /// Every way, with its name in settings.
     pub const ALL: [(&'static str, Self); 3] = [
         ("copy", Self::Copy),
@@ -111,7 +111,7 @@
 
 /// What it costs to choose an upstream for a relayed request, in a unit of its own; 0 for not weighed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct PlacementWeights {
     /// Another data centre, for the bytes between them.
     pub far: f64,
     /// The upstream's whole memory in use.
@@ -135,7 +135,7 @@
     pub trouble: f64,
 }
 
-impl Default for Place {
+impl Default for PlacementWeights {
     fn default() -> Self {
         Self {
             far: 0.4,
@@ -154,7 +154,7 @@
 /// Bounds on what engines are given, and who waits for room. A part of an upstream's memory is reckoned by
 /// the tokens of prompts and longest answers; 0 always means that there is no bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct CapacityLimits {
     /// Part of the memory of all upstreams of a pool up to which they are given copies of each other's
     /// streams. With 0.5 fewer lost streams have one, with 0.75 the first streams of a burst find no room.
     pub copy_fill: f64,
@@ -180,7 +180,7 @@
     pub turns: bool,
 }
 
-impl Default for Room {
+impl Default for CapacityLimits {
     fn default() -> Self {
         Self {
             copy_fill: 0.6,
@@ -199,7 +199,7 @@
 /// What all instances keep together: budgets of second sendings and of continuations on suspicion, and what they
 /// learn of engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shared {
+pub struct SharedSettings {
     /// Permits that an instance's part is at least, and that it may owe; 0 for neither: where the part is less
     /// than one permit, nothing is then ever sent again.
     pub least: f64,
@@ -209,7 +209,7 @@
     pub unsent: bool,
 }
 
-impl Default for Shared {
+impl Default for SharedSettings {
     fn default() -> Self {
         Self {
             least: 1.0,
@@ -221,7 +221,7 @@
 
 /// Bounds on calls of plain services.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Calls {
+pub struct CallLimits {
     /// Whether those beyond what the slots serve are refused, by what all instances are asked.
     pub demand: bool,
     /// Whether calls that upstreams failed are sent on while their service is nearly full.
@@ -232,7 +232,7 @@
     pub window: bool,
 }
 
-impl Default for Calls {
+impl Default for CallLimits {
     fn default() -> Self {
         Self {
             demand: true,
@@ -243,7 +243,7 @@
     }
 }
 
-impl Room {
+impl CapacityLimits {
     /// Without any bound: upstreams are given whatever comes, as a baseline.
     pub fn unbounded() -> Self {
         Self {
@@ -266,7 +266,7 @@
     /// Greatest number of attempts of one request.
     pub attempts_max: u32,
     /// Bounds on calls of plain services.
-    pub calls: Calls,
+    pub calls: CallLimits,
     /// Time between two tries to claim a continuation.
     pub claim_retry_ms: u64,
     /// Whether a non-repeatable generation may go on elsewhere from its delivered tokens.
@@ -284,7 +284,7 @@
     /// How long a word that an upstream leaves counts against the platform's list.
     pub leaving_hint_ms: u64,
     /// Which instances have a part of the limit that an upstream names.
-    pub limits: Limits,
+    pub limits: LimitHolders,
     /// How long an engine keeps a stream without a reader.
     pub linger_ms: u64,
     /// Time between load reports of an upstream that is believed to live.
@@ -296,7 +296,7 @@
     /// Time after which a probe without answer has failed.
     pub probe_timeout_ms: u64,
     /// By which rule requests are found, and refused, that end the upstreams that run them.
-    pub quarantine: Guilt,
+    pub quarantine: QuarantineRule,
     /// Requests waiting for an upstream, at most.
     pub queue_max: usize,
     /// How an upstream is chosen.
@@ -304,7 +304,7 @@
     /// Age that the content of a load report has when it arrives.
     pub report_lag_ms: u64,
     /// What is weighed when an upstream is chosen for a relayed request.
-    pub place: Place,
+    pub place: PlacementWeights,
     /// Whether upstreams are probed; without probes a doubted one is tried again after `probe_ms`.
     pub probes: bool,
     /// Silence after which a repeatable relayed call is sent to another upstream.
@@ -316,17 +316,17 @@
     /// days 0.808 and 0.653 of the worth against 0.833 and 0.669.
     pub relay_first: f64,
     /// How a relayed stream goes on whose upstream was lost.
-    pub relay_resume: Resume,
+    pub relay_resume: ResumeMode,
     /// Silence between two events after which a relayed stream goes on elsewhere.
     pub relay_stall_ms: u64,
     /// Share of an upstream's slots that only resumed work may use.
     pub resume_reserve: f64,
     /// Room of engines for relayed streams.
-    pub room: Room,
+    pub room: CapacityLimits,
     /// Permits for a retry that each admitted request earns.
     pub retry_earn: f64,
     /// What all instances keep together.
-    pub shared: Shared,
+    pub shared: SharedSettings,
     /// Silence after which a stream under the policy `resources` is lost.
     pub stall_loss_ms: u64,
     /// Upper limit of the adaptive stall bound.
@@ -343,7 +343,7 @@
     fn default() -> Self {
         Self {
             attempts_max: 8,
-            calls: Calls::default(),
+            calls: CallLimits::default(),
             claim_retry_ms: 250,
             continue_non_repeatable: true,
             continuation: true,
@@ -352,27 +352,27 @@
             key_age_max_ms: 900_000,
             key_lead_max_ms: 10_000,
             leaving_hint_ms: 30_000,
-            limits: Limits::Few,
+            limits: LimitHolders::Few,
             linger_ms: 5_000,
             load_ms: 1_000,
             pause_ms: 500,
             probe_ms: 1_000,
             probe_timeout_ms: 400,
-            place: Place::default(),
+            place: PlacementWeights::default(),
             probes: true,
-            quarantine: Guilt::Lives,
+            quarantine: QuarantineRule::Lives,
             queue_max: 1_000,
             relay_call_ms: 300,
             relay_copy_ms: 1_000,
             relay_first: 1.2,
-            relay_resume: Resume::Copy,
+            relay_resume: ResumeMode::Copy,
             relay_stall_ms: 400,
             report_lag_ms: 300,
             resume_reserve: 0.0,
             routing: Routing::Prefix,
             retry_earn: 0.1,
-            room: Room::default(),
-            shared: Shared::default(),
+            room: CapacityLimits::default(),
+            shared: SharedSettings::default(),
             stall_loss_ms: 2_000,
             stall_max_ms: 600,
             stall_min_ms: 150,
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -29,7 +29,7 @@
     /// When the first broke.
     since: Time,
     /// The requests that were sent on them.
-    there: BTreeMap<Print, quarantine::Part>,
+    there: BTreeMap<Print, quarantine::Involvement>,
 }
 
 /// A request that is not sent on before it is known whether its last upstream ended.
@@ -44,7 +44,7 @@
 /// What an instance believes of requests that end their upstreams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspicion {
-    account: Account,
+    account: CrashHistory,
     guilty: BTreeMap<Print, BTreeSet<Life>>,
     held: Vec<Held>,
     pending: HashMap<Life, Pending>,
@@ -73,7 +73,7 @@
     fn ends(&self, print: Print) -> usize {
         let pending = self.pending.values().filter(|pending| !pending.answered);
         let pending = pending.filter(|pending| pending.there.contains_key(&print));
-        self.account.lives(print).count() + pending.count()
+        self.account.crashes_of(print).count() + pending.count()
     }
 
     /// Whether anything is known or to be found out.
@@ -99,7 +99,7 @@
     }
 
     /// The unplanned ends of upstreams that this instance knows.
-    pub fn account(&self) -> &Account {
+    pub fn account(&self) -> &CrashHistory {
         &self.suspicion.account
     }
 
@@ -107,18 +107,18 @@
     /// what it ran.
     pub(crate) fn suspect(&mut self, attempt: &Attempt) {
         let upstream = &self.upstreams[attempt.upstream];
-        if self.settings.quarantine == Guilt::Off || upstream.leaves(self.now) {
+        if self.settings.quarantine == QuarantineRule::Off || upstream.leaves(self.now) {
             return;
         }
         let (address, life) = (upstream.address, upstream.life);
         let print = self.requests[attempt.request].print;
         let ran_ms = attempt.began.map_or(0, |began| self.now.since(began));
         let part = if ran_ms >= RAN_MS {
-            quarantine::Part::Ran
+            quarantine::Involvement::Ran
         } else {
-            quarantine::Part::Fresh
+            quarantine::Involvement::Fresh
         };
-        if self.suspicion.account.has(life) {
+        if self.suspicion.account.contains(life) {
             self.note_end(life, &[(print, part)].into());
             return;
         }
@@ -156,11 +156,11 @@
         }
     }
 
-    fn note_end(&mut self, life: Life, there: &BTreeMap<Print, quarantine::Part>) {
-        let mut news = Account::default();
+    fn note_end(&mut self, life: Life, there: &BTreeMap<Print, quarantine::Involvement>) {
+        let mut news = CrashHistory::default();
         for (print, part) in there {
-            if self.suspicion.account.add(life, *print, *part, self.now) {
-                news.add(life, *print, *part, self.now);
+            if self.suspicion.account.record(life, *print, *part, self.now) {
+                news.record(life, *print, *part, self.now);
             }
         }
         self.suspicion.seen.insert(life);
@@ -168,8 +168,8 @@
     }
 
     /// Another instance, or the store, told of ends of upstreams.
-    pub(crate) fn crashed(&mut self, told: &Account) {
-        if self.settings.quarantine == Guilt::Off {
+    pub(crate) fn crashed(&mut self, told: &CrashHistory) {
+        if self.settings.quarantine == QuarantineRule::Off {
             return;
         }
         let news = self.suspicion.account.merge(told);
@@ -191,7 +191,7 @@
     }
 
     /// Tells other instances what this one saw, and draws the conclusions.
-    fn tell_ends(&mut self, news: Account) {
+    fn tell_ends(&mut self, news: CrashHistory) {
         if !news.is_empty() {
             self.decide(effect::Quarantine::Tell(news));
             self.judge();
@@ -207,10 +207,10 @@
         let own = self.suspicion.own_guilty();
         let suspicion = &mut self.suspicion;
         let rule = self.settings.quarantine;
-        suspicion.account.trim(rule, self.now);
+        suspicion.account.evict(rule, self.now);
         let account = &suspicion.account;
-        suspicion.seen.retain(|life| account.has(*life));
-        let before = std::mem::replace(&mut suspicion.guilty, account.guilty(rule));
+        suspicion.seen.retain(|life| account.contains(*life));
+        let before = std::mem::replace(&mut suspicion.guilty, account.quarantined(rule));
         let found: Vec<Print> = suspicion.guilty.keys().copied().collect();
         let found = found
             .into_iter()
@@ -234,7 +234,7 @@
         self.count(Counter::Quarantined);
         let suspicion = &self.suspicion;
         let own = suspicion.saw(&suspicion.guilty[&print]);
-        let ends = suspicion.account.of(print);
+        let ends = suspicion.account.evidence_for(print);
         self.decide(effect::Quarantine::Refuse { ends, own, print });
         let tries: Vec<request::Key> = self
             .requests
@@ -273,7 +273,7 @@
             pending.is_some_and(|pending| !pending.answered)
         });
         match pending {
-            Some(life) if self.suspicion.ends(print) >= quarantine::GUILTY => {
+            Some(life) if self.suspicion.ends(print) >= quarantine::QUARANTINE_THRESHOLD => {
                 self.suspicion.held.push(Held {
                     life,
                     reason,
@@ -300,7 +300,7 @@
     /// and ends lapse.
     pub(crate) fn watch_suspicion(&mut self) {
         let now = self.now;
-        if self.suspicion.account.lapses(now) {
+        if self.suspicion.account.has_expired(now) {
             self.judge();
         }
         let pending = &mut self.suspicion.pending;
--- a/crates/core/src/patience.rs
+++ b/crates/core/src/timeout.rs
@@ -8,7 +8,7 @@
 
 /// The longest patience of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Longest {
+pub(crate) struct LongestTimeout {
     /// The longest since `since`, in milliseconds.
     current: u64,
     /// The longest in the time before, in milliseconds.
@@ -16,7 +16,7 @@
     since: Time,
 }
 
-impl Longest {
+impl LongestTimeout {
     /// Notes a caller's patience; by how much it is shorter than the longest, in milliseconds.
     pub fn note(&mut self, patience: u64, now: Time) -> u64 {
         if now.since(self.since) >= KEPT_MS {
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -188,7 +188,7 @@
         self.reclaim();
         self.watch_suspicion();
         self.submit_early();
-        self.tell_demands();
+        self.broadcast_demand();
         if self.now.since(self.swept) >= SWEEP_MS {
             self.swept = self.now;
             self.settle_versions();
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -70,7 +70,7 @@
 impl Core {
     /// Whether another call may be under way in the pool of a request; streams are bounded by the room of
     /// their engines.
-    pub(crate) fn may_call(&self, request: &Request) -> bool {
+    pub(crate) fn may_send_call(&self, request: &Request) -> bool {
         if !self.settings.calls.window || request.service.streams() {
             return true;
         }
@@ -82,7 +82,7 @@
     }
 
     /// Notes how a relayed call ended: with an answer, or without one.
-    pub(crate) fn called(&mut self, attempt: &Attempt, answered: bool) {
+    pub(crate) fn record_call_result(&mut self, attempt: &Attempt, answered: bool) {
         let request = &self.requests[attempt.request];
         if request.service.streams() {
             return;
@@ -101,7 +101,7 @@
         } else {
             window.cut(now);
         }
-        self.time_call(&name, attempt, answered);
+        self.record_call_duration(&name, attempt, answered);
     }
 
     /// Upstreams of a pool.
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -6,8 +6,8 @@
         clock::Time,
         life::Life,
         print::Print,
-        quarantine::{Account, Part},
-        settings::Guilt,
+        quarantine::{CrashHistory, Involvement},
+        settings::QuarantineRule,
     },
 };
 
@@ -21,20 +21,20 @@
 }
 
 /// An account of upstreams that ended, each with the requests that waited there.
-fn account(ends: &[(u64, &[u64])]) -> Account {
-    let mut account = Account::default();
+fn account(ends: &[(u64, &[u64])]) -> CrashHistory {
+    let mut account = CrashHistory::default();
     for (upstream, prints) in ends {
         for print in *prints {
             let at = NOW.after(*upstream);
-            account.add(life(*upstream), Print(*print), Part::Fresh, at);
+            account.record(life(*upstream), Print(*print), Involvement::Fresh, at);
         }
     }
     account
 }
 
 /// Who is guilty where ends are explained.
-fn guilty(account: &Account) -> Vec<u64> {
-    let guilty = account.guilty(Guilt::Explained);
+fn guilty(account: &CrashHistory) -> Vec<u64> {
+    let guilty = account.quarantined(QuarantineRule::Explained);
     guilty.into_keys().map(|print| print.0).collect()
 }
 
@@ -55,7 +55,7 @@
     let ends: [(u64, &[u64]); 5] = [(1, &[7, 8]), (2, &[7]), (3, &[7]), (4, &[7, 8]), (5, &[8])];
     let account = account(&ends);
     expect_that!(guilty(&account), elements_are![eq(&7)]);
-    expect_that!(account.guilty(Guilt::Lives).len(), eq(2));
+    expect_that!(account.quarantined(QuarantineRule::Lives).len(), eq(2));
 }
 
 #[gtest]
@@ -80,10 +80,15 @@
     ];
     let mut account = account(&ends);
     for upstream in [1, 2, 4, 5] {
-        account.add(life(upstream), Print(7), Part::Fresh, NOW.after(upstream));
+        account.record(
+            life(upstream),
+            Print(7),
+            Involvement::Fresh,
+            NOW.after(upstream),
+        );
     }
     expect_that!(guilty(&account), elements_are![eq(&1), eq(&2), eq(&3)]);
-    account.add(life(7), Print(7), Part::Fresh, NOW.after(7));
+    account.record(life(7), Print(7), Involvement::Fresh, NOW.after(7));
     expect_that!(
         guilty(&account),
         elements_are![eq(&1), eq(&2), eq(&3), eq(&7)]
@@ -108,7 +113,7 @@
 fn of_two_that_were_there_as_often_who_had_run_for_a_while_is_not_guilty() {
     let mut account = account(&[(1, &[7]), (2, &[7]), (3, &[7])]);
     for upstream in 1..=3 {
-        account.add(life(upstream), Print(8), Part::Ran, NOW);
+        account.record(life(upstream), Print(8), Involvement::Ran, NOW);
     }
     expect_that!(guilty(&account), elements_are![eq(&7)]);
 }
@@ -119,10 +124,10 @@
     let news = account.clear(Print(7));
     expect_that!(guilty(&account), is_empty());
     expect_that!(news.len(), eq(3));
-    account.add(life(4), Print(7), Part::Fresh, NOW);
-    account.add(life(5), Print(7), Part::Fresh, NOW);
+    account.record(life(4), Print(7), Involvement::Fresh, NOW);
+    account.record(life(5), Print(7), Involvement::Fresh, NOW);
     expect_that!(guilty(&account), is_empty());
-    account.add(life(6), Print(7), Part::Fresh, NOW);
+    account.record(life(6), Print(7), Involvement::Fresh, NOW);
     expect_that!(guilty(&account), elements_are![eq(&7)]);
 }
 
@@ -143,7 +148,7 @@
         [1, 1, 3, 0, 2, 2],
     ];
     let merged = orders.map(|order| {
-        let mut account = Account::default();
+        let mut account = CrashHistory::default();
         for part in order {
             let _ = account.merge(&parts[part]);
         }
@@ -165,7 +170,7 @@
 
 #[gtest]
 fn digest_tells_what_is_known_and_is_zero_for_nothing() {
-    expect_that!(Account::default().digest(), eq(0));
+    expect_that!(CrashHistory::default().digest(), eq(0));
     let one = account(&[(1, &[7])]);
     let mut cleared = one.clone();
     let _ = cleared.clear(Print(7));
@@ -180,15 +185,20 @@
     let mut account = account(&[(1, &[7]), (2, &[7]), (3, &[7])]);
     for upstream in 10..2_000 {
         let at = NOW.after(upstream);
-        account.add(life(upstream), Print(1_000 + upstream), Part::Fresh, at);
-        account.trim(Guilt::Explained, at);
+        account.record(
+            life(upstream),
+            Print(1_000 + upstream),
+            Involvement::Fresh,
+            at,
+        );
+        account.evict(QuarantineRule::Explained, at);
     }
     expect_that!(account.len(), le(512));
     expect_that!(guilty(&account), elements_are![eq(&7)]);
     for print in 0..1_000 {
-        account.add(life(1), Print(print), Part::Fresh, NOW);
+        account.record(life(1), Print(print), Involvement::Fresh, NOW);
     }
-    let there = account.ends().map(|(_, end)| end.there.len());
+    let there = account.crashes().map(|(_, crash)| crash.requests.len());
     expect_that!(there.max(), some(le(64)));
 }
 
@@ -197,8 +207,8 @@
     let mut account = account(&[(1, &[7]), (2, &[7]), (3, &[7])]);
     let before = NOW.after(23 * 3_600_000);
     let after = NOW.after(24 * 3_600_000 + 3);
-    expect_that!(account.lapses(before), eq(false));
-    expect_that!(account.lapses(after), eq(true));
-    account.trim(Guilt::Explained, after);
+    expect_that!(account.has_expired(before), eq(false));
+    expect_that!(account.has_expired(after), eq(true));
+    account.evict(QuarantineRule::Explained, after);
     expect_that!(account.is_empty(), eq(true));
 }
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -55,11 +55,11 @@
     }
 
     pub fn without_configuration() -> Self {
-        Self::with(Resume::Copy)
+        Self::with(ResumeMode::Copy)
     }
 
     /// A core without a configuration whose lost streams go on in one way.
-    pub fn with(relay_resume: Resume) -> Self {
+    pub fn with(relay_resume: ResumeMode) -> Self {
         Self::set(Settings {
             relay_resume,
             ..Settings::default()
--- a/crates/core/tests/relay/room.rs
+++ b/crates/core/tests/relay/capacity.rs
@@ -5,7 +5,7 @@
 /// Settings of a core that gives upstreams whatever comes.
 fn unbounded() -> Settings {
     Settings {
-        room: Bounds::unbounded(),
+        room: CapacityLimits::unbounded(),
         ..Settings::default()
     }
 }
--- a/crates/core/tests/relay/fleet.rs
+++ b/crates/core/tests/relay/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use std::collections::BTreeMap;
-use wellplank_core::{demand::Demand, settings::Shared};
+use wellplank_core::{demand::Demand, settings::SharedSettings};
 
 /// Sizes of fleets, from one instance to more than the largest site has.
 const FLEETS: [u32; 5] = [1, 6, 74, 295, 320];
@@ -28,9 +28,9 @@
 #[gtest]
 fn without_a_least_part_hundreds_of_instances_send_nothing_again() {
     let settings = Settings {
-        shared: Shared {
+        shared: SharedSettings {
             least: 0.0,
-            ..Shared::default()
+            ..SharedSettings::default()
         },
         ..Settings::default()
     };
@@ -114,12 +114,12 @@
     fn demand(&mut self, instances: u16, asked: f64, running: u16) {
         for instance in 0..instances {
             let demand = Demand {
-                asked,
-                last: None,
+                arrival_rate: asked,
+                last_call: None,
                 pool: "pool".into(),
-                returned: 0.0,
+                retry_rate: 0.0,
                 running: u32::from(instance < running),
-                takes_ms: 60.0,
+                service_time_ms: 60.0,
             };
             let from = SocketAddr::from(([10, 0, 0, 1], instance + 1));
             self.tell(Event::Demanded { demand, from });
@@ -199,7 +199,7 @@
     });
     let (demand, pressed) = told.expect("something is told");
     expect_that!(demand.running, eq(2));
-    expect_that!(demand.asked, gt(0.0));
+    expect_that!(demand.arrival_rate, gt(0.0));
     expect_that!(pressed, eq(false));
 }
 
--- a/crates/core/tests/relay/limit.rs
+++ b/crates/core/tests/relay/limit.rs
@@ -156,7 +156,7 @@
     let mut test = Test::with_a_limit(1_000);
     let sent = test.press(10 * SECOND, Limit::Odd);
     expect_that!(sent, le(11));
-    expect_that!(test.counted(Counter::NoticeOdd), eq(sent as u64));
+    expect_that!(test.counted(Counter::NoticeInvalid), eq(sent as u64));
 }
 
 #[gtest]
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -17,21 +17,21 @@
         notice::{Notice, Rest},
         position::Position,
         print::Print,
-        quarantine::{Account, Part},
+        quarantine::{CrashHistory, Involvement},
         request::{Caller, Relay, Work},
-        settings::{Resume, Room as Bounds, Settings},
+        settings::{CapacityLimits, ResumeMode, Settings},
         sighting::{Sighting, Stage},
         upstream::{self, Load},
     },
 };
 
 mod builder;
+mod capacity;
 mod fleet;
 mod life;
 mod limit;
 mod notice;
 mod poison;
-mod room;
 mod version;
 
 use builder::*;
@@ -96,7 +96,7 @@
 
 #[gtest]
 fn baseline_that_reads_anew_keeps_no_copy() {
-    let mut test = Test::with(Resume::Anew).configured(9);
+    let mut test = Test::with(ResumeMode::Anew).configured(9);
     let first = test.stream(3);
     expect_that!(first.backup, none());
     test.fail(&first, Failure::Broken);
@@ -106,7 +106,7 @@
 
 #[gtest]
 fn baseline_that_does_not_resume_cuts_a_lost_stream() {
-    let mut test = Test::with(Resume::None).configured(9);
+    let mut test = Test::with(ResumeMode::None).configured(9);
     let first = test.stream(3);
     test.fail(&first, Failure::Broken);
     expect_that!(test.sent().len(), eq(1));
--- a/crates/core/tests/relay/notice.rs
+++ b/crates/core/tests/relay/notice.rs
@@ -235,7 +235,7 @@
     };
     test.says(&sent, notice);
     test.answer(&sent, Verdict::Good);
-    expect_that!(test.counted(Counter::NoticeOdd), eq(1));
+    expect_that!(test.counted(Counter::NoticeInvalid), eq(1));
     expect_that!(test.asked(ONCE), elements_are![eq(&0)]);
 }
 
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -9,9 +9,9 @@
 
 /// What another instance tells of upstreams that ended under a request.
 fn told(body: u64, upstreams: std::ops::Range<usize>) -> Event {
-    let mut account = Account::default();
+    let mut account = CrashHistory::default();
     for upstream in upstreams {
-        account.add(life(upstream, 0), print(body), Part::Fresh, NOW);
+        account.record(life(upstream, 0), print(body), Involvement::Fresh, NOW);
     }
     Event::Crashed(account.into())
 }
@@ -201,7 +201,7 @@
 #[gtest]
 fn request_beside_a_guilty_one_is_not_refused_where_ends_are_explained() {
     let settings = Settings {
-        quarantine: wellplank_core::settings::Guilt::Explained,
+        quarantine: wellplank_core::settings::QuarantineRule::Explained,
         ..Settings::default()
     };
     let mut test = Test::set(settings).configured(9);
@@ -241,7 +241,7 @@
 #[gtest]
 fn nothing_is_refused_where_that_is_switched_off() {
     let settings = Settings {
-        quarantine: wellplank_core::settings::Guilt::Off,
+        quarantine: wellplank_core::settings::QuarantineRule::Off,
         ..Settings::default()
     };
     let mut test = Test::set(settings).configured(9);
--- a/crates/node/src/account.rs
+++ b/crates/node/src/account.rs
@@ -3,7 +3,7 @@
 use super::*;
 use wellplank_core::{
     print::Print,
-    quarantine::{Account, End, Part},
+    quarantine::{Crash, CrashHistory, Involvement},
 };
 
 /// Bytes of ends in one datagram, at most: with all else that one holds they stay within what a link carries in one piece.
@@ -17,14 +17,14 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Known {
     /// All ends that it knows.
-    pub account: Arc<Account>,
+    pub account: Arc<CrashHistory>,
     /// What accounts that hold the same have in common.
     pub digest: u64,
 }
 
 impl Known {
     /// What is known, with its digest.
-    pub fn new(account: Account) -> Self {
+    pub fn new(account: CrashHistory) -> Self {
         let digest = account.digest();
         Self {
             account: account.into(),
@@ -60,7 +60,7 @@
 }
 
 /// Ends as they are told, in pieces that fit into a datagram each.
-pub(crate) fn pieces(account: &Account) -> Vec<Vec<peers::End>> {
+pub(crate) fn pieces(account: &CrashHistory) -> Vec<Vec<peers::End>> {
     let mut pieces: Vec<Vec<peers::End>> = Vec::new();
     let mut bytes = PIECE;
     for end in encode(account) {
@@ -78,26 +78,29 @@
 }
 
 /// Ends as they are told and kept.
-pub(crate) fn encode(account: &Account) -> Vec<peers::End> {
-    let encode = |(life, end): (Life, &End)| {
-        let there = |part: Part| {
-            let there = end.there.iter().filter(move |(_, other)| **other == part);
+pub(crate) fn encode(account: &CrashHistory) -> Vec<peers::End> {
+    let encode = |(life, end): (Life, &Crash)| {
+        let there = |part: Involvement| {
+            let there = end
+                .requests
+                .iter()
+                .filter(move |(_, other)| **other == part);
             there.map(|(print, _)| print.0).collect()
         };
         peers::End {
             at_ms: end.at.0,
-            cleared: there(Part::Cleared),
+            cleared: there(Involvement::Cleared),
             life: Some(gossip::encode_life(life)),
-            ran: there(Part::Ran),
-            fresh: there(Part::Fresh),
+            ran: there(Involvement::Ran),
+            fresh: there(Involvement::Fresh),
         }
     };
-    account.ends().map(encode).collect()
+    account.crashes().map(encode).collect()
 }
 
 /// Ends that were told or kept; one that names no upstream is left out.
-pub(crate) fn decode(ends: Vec<peers::End>) -> Account {
-    let mut account = Account::default();
+pub(crate) fn decode(ends: Vec<peers::End>) -> CrashHistory {
+    let mut account = CrashHistory::default();
     for end in ends {
         let Some(life) = end.life else {
             warn!("an end of no upstream was told");
@@ -105,13 +108,13 @@
         };
         let life = gossip::decode_life(life);
         let parts = [
-            (end.fresh, Part::Fresh),
-            (end.ran, Part::Ran),
-            (end.cleared, Part::Cleared),
+            (end.fresh, Involvement::Fresh),
+            (end.ran, Involvement::Ran),
+            (end.cleared, Involvement::Cleared),
         ];
         for (prints, part) in parts {
             for print in prints {
-                account.add(life, Print(print), part, Time(end.at_ms));
+                account.record(life, Print(print), part, Time(end.at_ms));
             }
         }
     }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -88,7 +88,7 @@
             {
                 let era = answer.era;
                 warn!(era; "the store has come back from an older copy");
-                self.meter.count(Counter::StoreReturned, 1);
+                self.meter.count(Counter::StoreRestored, 1);
             }
             if !answered {
                 let now = self.clock.now();
@@ -130,7 +130,7 @@
             Ok(era) => era.unwrap_or(known),
             Err(error) => {
                 warn!("an answer of the store: {error}");
-                self.meter.count(Counter::EntryOdd("era"), 1);
+                self.meter.count(Counter::EntryInvalid("era"), 1);
                 known
             }
         }
@@ -188,7 +188,7 @@
     fn leave_out(&self, prefix: &str, odd: usize) {
         if odd > 0 {
             warn!(odd; "items of {prefix} name no key and are left out");
-            self.meter.count(Counter::EntryOdd("item"), odd as u64);
+            self.meter.count(Counter::EntryInvalid("item"), odd as u64);
         }
     }
 
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -5,11 +5,11 @@
 use members::{FEW, Member, Members, Own};
 use tokio::net::UdpSocket;
 use wellplank_core::{
-    demand::{Demand, Ended},
-    gauge::Pace,
+    demand::{Demand, FinishedCall},
+    estimates::EngineSpeed,
     lesson::{Confirmed, Heard, Known, Topic},
     limit::Rate,
-    quarantine::Account,
+    quarantine::CrashHistory,
     roster::{self, Entry, Word},
 };
 
@@ -55,7 +55,7 @@
         pressed: bool,
     },
     /// Unplanned ends of upstreams.
-    Ends(Account),
+    Ends(CrashHistory),
     /// An upstream says that it is leaving.
     Leaving(Life),
     /// An upstream named a limit, or names none any more.
@@ -68,7 +68,7 @@
     /// An upstream is lost.
     Lost(Life),
     /// How fast the engines of a pool work; it goes along with what is told next.
-    Pace(Pace),
+    Pace(EngineSpeed),
     /// Changes of the list of upstreams; told within the data centre.
     Roster(Word),
     /// A stream is relayed.
@@ -590,46 +590,46 @@
 /// What another instance is asked of a pool.
 fn decode_demand(demand: peers::Demand) -> Demand {
     Demand {
-        asked: f64::from(demand.asked) / ASKED_S,
-        last: demand.last.map(|last| Ended {
-            millis: last.millis,
+        arrival_rate: f64::from(demand.asked) / ASKED_S,
+        last_call: demand.last.map(|last| FinishedCall {
+            duration_ms: last.millis,
             upstream: last.upstream,
         }),
         pool: demand.pool.into(),
-        returned: f64::from(demand.returned) / ASKED_S,
+        retry_rate: f64::from(demand.returned) / ASKED_S,
         running: demand.running,
-        takes_ms: f64::from(demand.takes_ms),
+        service_time_ms: f64::from(demand.takes_ms),
     }
 }
 
 fn encode_demand(demand: &Demand) -> peers::Demand {
     peers::Demand {
-        asked: (demand.asked * ASKED_S).round() as u32,
-        last: demand.last.map(|last| peers::Ended {
-            millis: last.millis,
+        asked: (demand.arrival_rate * ASKED_S).round() as u32,
+        last: demand.last_call.map(|last| peers::Ended {
+            millis: last.duration_ms,
             upstream: last.upstream,
         }),
         pool: demand.pool.to_string(),
-        returned: (demand.returned * ASKED_S).round() as u32,
+        returned: (demand.retry_rate * ASKED_S).round() as u32,
         running: demand.running,
-        takes_ms: demand.takes_ms.ceil() as u32,
+        takes_ms: demand.service_time_ms.ceil() as u32,
     }
 }
 
 /// How fast another instance saw engines work.
-fn decode_pace(pace: peers::Pace) -> Pace {
-    Pace {
-        event_ms: f64::from(pace.event_us) / MICROS,
+fn decode_pace(pace: peers::Pace) -> EngineSpeed {
+    EngineSpeed {
+        event_interval_ms: f64::from(pace.event_us) / MICROS,
         pool: pace.pool.into(),
-        reading_ms: f64::from(pace.reading_us) / MICROS,
+        prefill_ms_per_token: f64::from(pace.reading_us) / MICROS,
     }
 }
 
-fn encode_pace(pace: &Pace) -> peers::Pace {
+fn encode_pace(pace: &EngineSpeed) -> peers::Pace {
     peers::Pace {
-        event_us: (pace.event_ms * MICROS) as u32,
+        event_us: (pace.event_interval_ms * MICROS) as u32,
         pool: pace.pool.to_string(),
-        reading_us: (pace.reading_ms * MICROS) as u32,
+        reading_us: (pace.prefill_ms_per_token * MICROS) as u32,
     }
 }
 
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -4,7 +4,7 @@
 use super::*;
 use members::{Member, Members, Own};
 use rand::RngExt;
-use wellplank_core::{print::Print, quarantine::Account};
+use wellplank_core::{print::Print, quarantine::CrashHistory};
 
 /// Start of the keys under which streams are kept.
 const STREAMS: &str = "wellplank/streams/";
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Kept {
     /// The ends that it is guilty by.
-    Ends(Print, Account),
+    Ends(Print, CrashHistory),
     /// It is guilty no longer.
     Nothing(Print),
 }
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/learner.rs
@@ -279,7 +279,7 @@
             Err(error) => {
                 let reason = error.reason();
                 warn!(reason; "an entry names no upstream to use: {}", shortened(&error));
-                self.learner.driver.count(Counter::EntryOdd(reason));
+                self.learner.driver.count(Counter::EntryInvalid(reason));
                 Entry::Odd
             }
         }
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -39,7 +39,7 @@
         match self {
             Self::Core(Timing::Answer) => "answer",
             Self::Core(Timing::FirstEvent) => "first_event",
-            Self::Core(Timing::Pause) => "pause",
+            Self::Core(Timing::EventInterval) => "pause",
             Self::Core(Timing::Resume) => "resume",
             Self::Store => "store_call",
         }
--- a/crates/node/src/note.rs
+++ b/crates/node/src/note.rs
@@ -5,7 +5,7 @@
     limit::Limit,
     notice::{Notice, Rest},
     print::Print,
-    quarantine::Account,
+    quarantine::CrashHistory,
 };
 
 /// Writes the line of a change in what is believed of an upstream.
@@ -33,9 +33,9 @@
 
 /// Writes the line of a request that is refused from now on, with the upstreams that ended under it, by the hashes of their
 /// names, and whether this instance saw one of them end.
-pub(crate) fn quarantine(print: Print, ends: &Account, own: bool) {
+pub(crate) fn quarantine(print: Print, ends: &CrashHistory, own: bool) {
     let fingerprint = print.to_string();
-    let lives = ends.ends();
+    let lives = ends.crashes();
     let upstreams: Vec<String> = lives.map(|(life, _)| life.to_string()).collect();
     let upstreams = upstreams.join(",");
     warn!(fingerprint, upstreams, own; "quarantined");
--- a/crates/node/src/tuning.rs
+++ b/crates/node/src/tuning.rs
@@ -4,7 +4,8 @@
 use reader::Reader;
 use settings::MILLIS_MAX;
 use wellplank_core::settings::{
-    Calls, Guilt, Limits, Place, Resume, Room, Routing, Settings, Shared,
+    CallLimits, CapacityLimits, LimitHolders, PlacementWeights, QuarantineRule, ResumeMode,
+    Routing, Settings, SharedSettings,
 };
 
 /// The section with every setting at its default.
@@ -119,20 +120,20 @@
         key_age_max_ms,
         key_lead_max_ms,
         leaving_hint_ms,
-        limits: reader.choice("limits", &Limits::ALL, default.limits),
+        limits: reader.choice("limits", &LimitHolders::ALL, default.limits),
         linger_ms,
         load_ms,
         pause_ms,
         probe_ms,
         probe_timeout_ms,
-        quarantine: reader.choice("quarantine", &Guilt::ALL, default.quarantine),
+        quarantine: reader.choice("quarantine", &QuarantineRule::ALL, default.quarantine),
         queue_max: reader.number("queue_max", default.queue_max as u64, 1..=1_000_000) as usize,
         place: read_place(reader.section("place")),
         probes: reader.flag("probes", default.probes),
         relay_call_ms,
         relay_copy_ms,
         relay_first: reader.real("relay_first", default.relay_first, 0.1..=100.0),
-        relay_resume: reader.choice("relay_resume", &Resume::ALL, default.relay_resume),
+        relay_resume: reader.choice("relay_resume", &ResumeMode::ALL, default.relay_resume),
         relay_stall_ms,
         report_lag_ms,
         resume_reserve: reader.share("resume_reserve", default.resume_reserve),
@@ -150,9 +151,9 @@
     settings
 }
 
-fn read_calls(mut reader: Reader) -> Calls {
-    let default = Calls::default();
-    let calls = Calls {
+fn read_calls(mut reader: Reader) -> CallLimits {
+    let default = CallLimits::default();
+    let calls = CallLimits {
         demand: reader.flag("demand", default.demand),
         second: reader.flag("second", default.second),
         wait: reader.real("wait", default.wait, 0.0..=1.0),
@@ -162,10 +163,10 @@
     calls
 }
 
-fn read_place(mut reader: Reader) -> Place {
-    let default = Place::default();
+fn read_place(mut reader: Reader) -> PlacementWeights {
+    let default = PlacementWeights::default();
     let mut cost = |name: &str, default: f64| reader.real(name, default, 0.0..=1_000.0);
-    let place = Place {
+    let place = PlacementWeights {
         far: cost("far", default.far),
         memory: cost("memory", default.memory),
         outage: cost("outage", default.outage),
@@ -180,10 +181,10 @@
     place
 }
 
-fn read_room(mut reader: Reader) -> Room {
-    let default = Room::default();
+fn read_room(mut reader: Reader) -> CapacityLimits {
+    let default = CapacityLimits::default();
     let mut part = |name: &str, default: f64| reader.real(name, default, 0.0..=10.0);
-    let room = Room {
+    let room = CapacityLimits {
         copy_fill: part("copy_fill", default.copy_fill),
         early: part("early", default.early),
         fill: part("fill", default.fill),
@@ -198,9 +199,9 @@
     room
 }
 
-fn read_shared(mut reader: Reader) -> Shared {
-    let default = Shared::default();
-    let shared = Shared {
+fn read_shared(mut reader: Reader) -> SharedSettings {
+    let default = SharedSettings::default();
+    let shared = SharedSettings {
         least: reader.real("least", default.least, 0.0..=10.0),
         paces: reader.flag("paces", default.paces),
         unsent: reader.flag("unsent", default.unsent),
--- a/crates/standin/src/arguments.rs
+++ b/crates/standin/src/arguments.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use scenario::Drills;
-use wellplank_core::settings::{Guilt, Resume};
+use wellplank_core::settings::{QuarantineRule, ResumeMode};
 
 /// The command line.
 pub(crate) fn command() -> Command {
@@ -241,7 +241,7 @@
 /// Runs the fault matrix.
 fn matrix(arguments: &ArgMatches) -> ExitCode {
     let cells = matrix::run(&wellplank_core::settings::Settings::default());
-    let relayed = relayed::run(Resume::Copy);
+    let relayed = relayed::run(ResumeMode::Copy);
     match arguments.get_one::<std::path::PathBuf>("write") {
         None => println!("{}{}", matrix::table(&cells), relayed::table(&relayed)),
         Some(path) => {
@@ -318,7 +318,7 @@
 /// Runs fleets that get requests which end their upstreams, on all cores, by each rule of guilt and without keeping suspects
 /// apart. The rule in force decides whether the run holds.
 fn random_poison(seed: u64, cases: u64, plan: poison::Plan) -> ExitCode {
-    let mut ways: Vec<(&str, poison::Plan)> = Guilt::ALL
+    let mut ways: Vec<(&str, poison::Plan)> = QuarantineRule::ALL
         .map(|(name, guilt)| (name, poison::Plan { guilt, ..plan }))
         .to_vec();
     ways.push(("lives, not apart", poison::Plan { apart: 0.0, ..plan }));
@@ -407,7 +407,7 @@
     let mut broken = 0;
     let (mut copies, mut requests, mut whole) = (0, 0, 0);
     for seed in first..first + cases {
-        let case = relaying::case(seed, Resume::Copy);
+        let case = relaying::case(seed, ResumeMode::Copy);
         copies += case.copies;
         requests += case.requests;
         whole += case.whole;
--- a/crates/standin/src/poison.rs
+++ b/crates/standin/src/poison.rs
@@ -12,8 +12,8 @@
 use wellplank_core::{
     clock::Time,
     event::Failure,
-    quarantine::Account,
-    settings::{Guilt, Resume, Settings},
+    quarantine::CrashHistory,
+    settings::{QuarantineRule, ResumeMode, Settings},
 };
 
 /// Time in which instances that reach each other must know what one of them knows.
@@ -75,7 +75,7 @@
     deeds: BTreeMap<u64, Deeds>,
     fatal: BTreeMap<u64, Fatal>,
     /// What the store keeps.
-    pub kept: Account,
+    pub kept: CrashHistory,
     /// Whether the store can be reached.
     pub store: bool,
     pub tick_ms: Option<u64>,
@@ -104,7 +104,7 @@
     /// Whether upstreams end, connections break and instances are lost for other reasons too.
     pub faults: bool,
     /// By which rule such requests are found.
-    pub guilt: Guilt,
+    pub guilt: QuarantineRule,
     /// Requests that end their upstreams; `None` for some, by chance.
     pub poisons: Option<u64>,
     /// Weight of keeping suspects apart.
@@ -118,7 +118,7 @@
         Self {
             apart: Settings::default().place.suspect,
             faults: true,
-            guilt: Guilt::Lives,
+            guilt: QuarantineRule::Lives,
             poisons: None,
             sizes: SMALL,
         }
@@ -149,7 +149,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (instances, engines) = plan.sizes[random.random_range(0..plan.sizes.len())];
     let engines = random.random_range(engines.div_ceil(2)..=engines);
-    let mut world = World::new(instances, engines, Resume::Copy, seed);
+    let mut world = World::new(instances, engines, ResumeMode::Copy, seed);
     world.poison.store = true;
     world.poison.tick_ms = (instances > 20).then_some(TICK_LARGE_MS);
     world.settings.quarantine = plan.guilt;
@@ -262,7 +262,7 @@
                 continue;
             };
             for print in core.quarantined() {
-                let _ = self.poison.kept.merge(&core.account().of(print));
+                let _ = self.poison.kept.merge(&core.account().evidence_for(print));
             }
         }
         let kept = self.poison.kept.clone();
--- a/crates/standin/src/relayed.rs
+++ b/crates/standin/src/relayed.rs
@@ -5,7 +5,7 @@
 use pool::Mode;
 use relaying::World;
 use std::fmt::Write as _;
-use wellplank_core::settings::Resume;
+use wellplank_core::settings::ResumeMode;
 
 /// Upstreams that stream, in three data centres.
 const ENGINES: usize = 6;
@@ -240,7 +240,7 @@
 }
 
 /// Runs every cell.
-pub fn run(resume: Resume) -> Vec<Cell> {
+pub fn run(resume: ResumeMode) -> Vec<Cell> {
     let mut cells = Vec::new();
     for kind in Kind::ALL {
         for step in Step::ALL.into_iter().filter(|step| step.applies(kind)) {
@@ -250,7 +250,7 @@
     cells
 }
 
-fn cell(kind: Kind, step: Step, fault: Fault, resume: Resume) -> Cell {
+fn cell(kind: Kind, step: Step, fault: Fault, resume: ResumeMode) -> Cell {
     let seed = 1_000 * step as u64 + 100 * kind as u64 + fault as u64;
     let mut world = World::new(INSTANCES, ENGINES, resume, seed);
     // Instances have read the list.
--- a/crates/standin/src/relaying.rs
+++ b/crates/standin/src/relaying.rs
@@ -17,9 +17,9 @@
     kind::Ran,
     life::Life,
     members::View,
-    quarantine::Account,
+    quarantine::CrashHistory,
     request::Caller as Connection,
-    settings::{Resume, Settings},
+    settings::{ResumeMode, Settings},
     upstream,
 };
 use word::Words;
@@ -42,7 +42,7 @@
 /// An instance over its lives.
 pub(crate) struct Instance {
     /// The unplanned ends of upstreams that it knows, and their digest.
-    pub account: (u64, Account),
+    pub account: (u64, CrashHistory),
     pub core: Option<Core>,
     pub life: u64,
     /// When this life began.
@@ -123,7 +123,7 @@
 
 /// Runs one case: requests of every kind and faults at any moment, together and again. Streams that are
 /// lost go on in the way `resume`.
-pub fn case(seed: u64, resume: Resume) -> Case {
+pub fn case(seed: u64, resume: ResumeMode) -> Case {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let instances = random.random_range(1..4);
     let engines = random.random_range(3..10);
@@ -152,7 +152,7 @@
 /// Measures what going on with lost streams is worth: the same cases in each way.
 pub fn measure(cases: u64, seed: u64) {
     let mut report = report::Report::new("Relayed streams under faults, in each way to go on");
-    for (name, resume) in Resume::ALL {
+    for (name, resume) in ResumeMode::ALL {
         let mut all = Case::default();
         for seed in seed..seed + cases {
             all.add(case(seed, resume));
@@ -249,7 +249,7 @@
 
 impl World {
     /// Instances before engines and two plain services.
-    pub fn new(instances: usize, engines: usize, resume: Resume, seed: u64) -> Self {
+    pub fn new(instances: usize, engines: usize, resume: ResumeMode, seed: u64) -> Self {
         let settings = Settings {
             probes: false,
             relay_resume: resume,
--- a/crates/standin/src/rush.rs
+++ b/crates/standin/src/rush.rs
@@ -17,7 +17,7 @@
     notice::{Notice, Rest},
     position::Position,
     request::{Caller, Relay},
-    settings::{Calls, Limits, Settings},
+    settings::{CallLimits, LimitHolders, Settings},
     upstream,
 };
 
@@ -78,13 +78,13 @@
     /// Instances, each with a core.
     pub instances: usize,
     /// Requests a second that some upstreams take in the rush from all instances together, and which instances have a part.
-    pub limit: Option<(f64, Limits)>,
+    pub limit: Option<(f64, LimitHolders)>,
     /// Upstreams that name a limit, if any do.
     pub limited: usize,
     /// Load in the rush, over the usual.
     pub load: f64,
     /// Bounds on what upstreams are given.
-    pub calls: Calls,
+    pub calls: CallLimits,
     /// Who heeds the rest that upstreams ask for.
     pub heeds: Heeds,
     /// Rest that an upstream asks for when it turns a call away, in milliseconds; 0 for none.
@@ -244,12 +244,12 @@
     let ways = [
         (
             "a window at each instance",
-            Calls {
+            CallLimits {
                 demand: false,
-                ..Calls::default()
+                ..CallLimits::default()
             },
         ),
-        ("demand of all instances", Calls::default()),
+        ("demand of all instances", CallLimits::default()),
     ];
     for load in [2.0, 3.0, 4.0, 6.0] {
         let title = format!("Calls at {load} times the usual for 20 s");
@@ -316,7 +316,7 @@
         let title = format!("{limited} of 6 upstreams take {per_second} calls a second");
         let mut report = report::Report::new(&title);
         for instances in [1, 3, 6, 13, 90, 300] {
-            for (name, limits) in Limits::ALL {
+            for (name, limits) in LimitHolders::ALL {
                 let plan = |seed| Plan {
                     instances,
                     limit: Some((per_second, limits)),
@@ -379,7 +379,7 @@
 impl Default for Plan {
     fn default() -> Self {
         Self {
-            calls: Calls::default(),
+            calls: CallLimits::default(),
             heeds: Heeds::Asked,
             instances: 1,
             limit: None,
@@ -457,7 +457,7 @@
         let settings = Settings {
             probes: false,
             calls: plan.calls,
-            limits: plan.limit.map_or(Limits::Few, |(_, limits)| limits),
+            limits: plan.limit.map_or(LimitHolders::Few, |(_, limits)| limits),
             ..Settings::default()
         };
         let core = |index| {
--- a/crates/standin/src/surge.rs
+++ b/crates/standin/src/surge.rs
@@ -15,7 +15,7 @@
     members::View,
     position::Position,
     request::{Caller, Relay},
-    settings::{Room, Settings},
+    settings::{CapacityLimits, Settings},
 };
 
 /// Start of virtual time.
@@ -56,7 +56,7 @@
     /// Load in the surge, over the usual.
     pub load: f64,
     /// Bounds on what engines are given.
-    pub room: Room,
+    pub room: CapacityLimits,
     /// Seed of every random choice.
     pub seed: u64,
 }
@@ -157,8 +157,8 @@
 pub fn measure(seeds: u64) {
     let mut report = report::Report::new("Load over the usual for 20 s, streams in time and not");
     for (name, room) in [
-        ("given whatever comes", Room::unbounded()),
-        ("bounded", Room::default()),
+        ("given whatever comes", CapacityLimits::unbounded()),
+        ("bounded", CapacityLimits::default()),
     ] {
         for load in [1.0, 2.0, 3.0, 4.0, 6.0] {
             let mut all = Outcome::default();
--- a/crates/standin/tests/proof.rs
+++ b/crates/standin/tests/proof.rs
@@ -2,7 +2,7 @@
 
 use {
     googletest::prelude::*,
-    wellplank_core::settings::{Resume, Settings},
+    wellplank_core::settings::{ResumeMode, Settings},
     wellplank_standin::{
         asker::{Ask, End, Step},
         matrix::{self, Cell, Fault},
@@ -64,7 +64,7 @@
 
 #[gtest]
 fn every_fault_at_every_step_of_a_relayed_request_holds() {
-    let cells = relayed::run(Resume::Copy);
+    let cells = relayed::run(ResumeMode::Copy);
     let broken: Vec<&relayed::Cell> = cells.iter().filter(|cell| !cell.holds()).collect();
     expect_that!(broken, is_empty());
     expect_that!(cells.len(), eq(165));
@@ -79,8 +79,8 @@
         };
         cells.iter().find(killed).map(|cell| cell.pause_ms)
     };
-    expect_that!(pause(Resume::Copy), some(lt(100)));
-    expect_that!(pause(Resume::Anew), some(ge(300)));
+    expect_that!(pause(ResumeMode::Copy), some(lt(100)));
+    expect_that!(pause(ResumeMode::Anew), some(ge(300)));
 }
 
 #[gtest]
@@ -95,7 +95,7 @@
 fn random_faults_break_nothing_that_is_relayed() {
     let (mut copies, mut requests, mut whole) = (0, 0, 0);
     for seed in 1..=RELAYING_CASES {
-        let case = relaying::case(seed, Resume::Copy);
+        let case = relaying::case(seed, ResumeMode::Copy);
         expect_that!(case.violations, is_empty(), "seed {seed}");
         copies += case.copies;
         requests += case.requests;
@@ -117,7 +117,7 @@
 fn requests_that_end_their_upstreams_are_sent_on_where_nothing_is_known_of_them() {
     let plan = poison::Plan {
         faults: false,
-        guilt: wellplank_core::settings::Guilt::Off,
+        guilt: wellplank_core::settings::QuarantineRule::Off,
         poisons: Some(1),
         ..poison::Plan::default()
     };
--- a/crates/standin/tests/rush.rs
+++ b/crates/standin/tests/rush.rs
@@ -2,16 +2,16 @@
 
 use {
     googletest::prelude::*,
-    wellplank_core::settings::{Calls, Limits},
+    wellplank_core::settings::{CallLimits, LimitHolders},
     wellplank_standin::rush::{self, Outcome, Plan},
 };
 
 /// A rush of some times the usual calls before six upstreams of six slots.
 fn rush(instances: usize, load: f64, demand: bool) -> Outcome {
     rush::run(Plan {
-        calls: Calls {
+        calls: CallLimits {
             demand,
-            ..Calls::default()
+            ..CallLimits::default()
         },
         instances,
         load,
@@ -72,7 +72,7 @@
 fn small_services_are_shared_like_large_ones() {
     for slots in [1, 30] {
         let plan = |load| Plan {
-            calls: Calls::default(),
+            calls: CallLimits::default(),
             instances: 40,
             load,
             seed: 1,
@@ -88,7 +88,7 @@
 #[gtest]
 fn ceiling_is_above_what_is_reached() {
     let plan = Plan {
-        calls: Calls::default(),
+        calls: CallLimits::default(),
         instances: 1,
         load: 4.0,
         seed: 1,
@@ -103,9 +103,9 @@
 fn calls_under_way_by_the_time_wanted_leave_few_late_and_none_idle() {
     let run = |wait, instances| {
         rush::run(Plan {
-            calls: Calls {
+            calls: CallLimits {
                 wait,
-                ..Calls::default()
+                ..CallLimits::default()
             },
             instances,
             load: 3.0,
@@ -124,7 +124,7 @@
     let play = |seed| {
         rush::run(Plan {
             instances,
-            limit: Some((per_second, Limits::Few)),
+            limit: Some((per_second, LimitHolders::Few)),
             limited,
             seed,
             ..Plan::default()
@@ -162,7 +162,7 @@
 fn limits_hold_over_three_hundred_instances() {
     let outcome = rush::run(Plan {
         instances: 300,
-        limit: Some((1.2, Limits::Few)),
+        limit: Some((1.2, LimitHolders::Few)),
         limited: 6,
         ..Plan::default()
     });
@@ -181,7 +181,7 @@
 fn limit_that_all_instances_divide_is_not_used_in_a_large_fleet() {
     let outcome = rush::run(Plan {
         instances: 90,
-        limit: Some((1.2, Limits::All)),
+        limit: Some((1.2, LimitHolders::All)),
         limited: 6,
         ..Plan::default()
     });
--- a/crates/standin/tests/surge.rs
+++ b/crates/standin/tests/surge.rs
@@ -2,12 +2,12 @@
 
 use {
     googletest::prelude::*,
-    wellplank_core::settings::Room,
+    wellplank_core::settings::CapacityLimits,
     wellplank_standin::surge::{self, Outcome, Plan},
 };
 
 /// A surge of some times the usual load before six instances and 18 engines.
-fn surge(load: f64, room: Room) -> Outcome {
+fn surge(load: f64, room: CapacityLimits) -> Outcome {
     surge::run(Plan {
         engines: 18,
         instances: 6,
@@ -19,15 +19,15 @@
 
 #[gtest]
 fn as_many_streams_are_in_time_at_six_times_the_load_as_at_three() {
-    let three = surge(3.0, Room::default());
-    let six = surge(6.0, Room::default());
+    let three = surge(3.0, CapacityLimits::default());
+    let six = surge(6.0, CapacityLimits::default());
     expect_that!(six.in_time * 10, ge(three.in_time * 9));
     expect_that!(six.asked, gt(three.asked));
 }
 
 #[gtest]
 fn what_is_taken_under_too_much_load_is_served() {
-    let outcome = surge(6.0, Room::default());
+    let outcome = surge(6.0, CapacityLimits::default());
     expect_that!(outcome.failed, eq(0));
     expect_that!(outcome.rejected * 20, lt(outcome.in_time));
     expect_that!(outcome.late * 4, lt(outcome.in_time));
@@ -35,8 +35,8 @@
 
 #[gtest]
 fn without_bounds_engines_reject_more_than_they_serve() {
-    let outcome = surge(4.0, Room::unbounded());
-    let bounded = surge(4.0, Room::default());
+    let outcome = surge(4.0, CapacityLimits::unbounded());
+    let bounded = surge(4.0, CapacityLimits::default());
     expect_that!(outcome.rejected, gt(outcome.in_time));
     expect_that!(outcome.in_time * 4, lt(bounded.in_time * 3));
 }
@@ -47,7 +47,7 @@
         engines: 18,
         instances: 2,
         load: 4.0,
-        room: Room::default(),
+        room: CapacityLimits::default(),
         seed: 1,
     };
     let few = surge::run(plan);
@@ -62,9 +62,9 @@
 
 /// The part of the largest tenth of streams that is whole, over that of all, at eight times the load.
 fn large_over_all(sizes: bool) -> f64 {
-    let room = Room {
+    let room = CapacityLimits {
         sizes,
-        ..Room::default()
+        ..CapacityLimits::default()
     };
     let mut all = Outcome::default();
     for seed in 0..4 {
@@ -92,7 +92,7 @@
         engines: 18,
         instances: 150,
         load: 4.0,
-        room: Room::default(),
+        room: CapacityLimits::default(),
         seed: 1,
     };
     let few = surge::run(Plan {
@@ -105,6 +105,6 @@
 
 #[gtest]
 fn the_same_seed_gives_the_same_surge() {
-    let first = surge(3.0, Room::default());
-    expect_that!(surge(3.0, Room::default()), eq(first));
+    let first = surge(3.0, CapacityLimits::default());
+    expect_that!(surge(3.0, CapacityLimits::default()), eq(first));
 }
