--- a/crates/core/src/counter.rs
+++ b/crates/core/src/counter.rs
@@ -1,72 +1,73 @@
-//! Counts of everything refused, retried, dropped or broken.
+//! Counters of requests and of everything refused, retried, dropped or broken, and timings of
+//! responses.
 
 use super::*;
 
-/// What is counted.
+/// An event that is counted.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Counter {
     /// Requests admitted.
     Admitted,
-    /// Requests answered whole.
+    /// Requests that received a complete response.
     Answered,
-    /// Callers that went away before their answer was whole.
+    /// Callers that disconnected before their response was complete.
     CallerGone,
-    /// An entry of the list names no upstream to use, for a reason.
+    /// Entries of the upstream list that are not usable, by reason.
     EntryInvalid(&'static str),
-    /// Frames dropped since their attempt is over.
+    /// Frames dropped because their attempt is over.
     FrameLate,
-    /// Tokens dropped since they were delivered before.
+    /// Tokens dropped because they had already been delivered.
     FrameRepeated,
-    /// Streams given up because tokens were missing.
+    /// Streams abandoned because tokens were missing.
     FrameGap,
-    /// Continuations started on suspicion.
+    /// Hedged continuations: started while the current upstream is only suspected.
     Hedged,
-    /// Invariants found broken.
+    /// Violated invariants.
     Invariant(Invariant),
-    /// Words of other instances that an upstream is leaving.
+    /// Reports from other instances that an upstream is leaving.
     PeerLeaving,
-    /// Words of other instances on the limits that upstreams name.
+    /// Reports from other instances of the rate limits of upstreams.
     PeerLimit,
-    /// Answers whose upstream said beside them that it is leaving.
+    /// Responses in which the upstream announced that it is leaving.
     NoticeLeaving,
-    /// Answers whose upstream named a limit.
+    /// Responses in which the upstream named a rate limit.
     NoticeLimit,
-    /// Answers whose upstream asked for a rest that is no time, or named a limit that is no number.
+    /// Responses with an unparsable backoff time or rate limit.
     NoticeInvalid,
-    /// Answers whose upstream asked for rest.
+    /// Responses in which the upstream asked for a backoff.
     NoticeRest,
-    /// Words of upstreams beside their answers that are not known.
+    /// Responses with an unknown notice from the upstream.
     NoticeUnknown,
-    /// Pauses of this instance noticed.
+    /// Detected pauses of this instance.
     Paused,
-    /// Requests found to end the upstreams that run them.
+    /// Requests found to crash the upstreams that run them.
     Quarantined,
     /// Requests refused, by reason.
     Refused(Kind),
-    /// Refusals of callers who had come back after one.
+    /// Refusals of callers that were retrying after a refusal.
     RefusedAgain,
-    /// Generations that go on after a loss.
+    /// Generations that continue after a loss, by reason.
     Resumed(Reason),
-    /// Requests sent again from the start.
+    /// Requests sent again from the start, by reason.
     Retried(Reason),
-    /// Answers of the store that were dropped, being of an era before it came back from a copy.
+    /// Responses of the store that were dropped because they predate its restore from a backup.
     StoreOutdated,
-    /// Times at which the store was found to have come back from a copy.
+    /// Detected restores of the store from a backup.
     StoreRestored,
-    /// Upstreams suspected as a whole.
+    /// Upstreams suspected with all their work.
     Suspected,
     /// Tokens delivered to callers.
     Tokens,
-    /// Upstreams given up on.
+    /// Upstreams declared lost.
     UpstreamLost,
 }
 
-/// What is timed.
+/// A duration that is measured.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Timing {
-    /// From asking to a relayed call's whole answer.
+    /// From the request to the complete response of a relayed call.
     Answer,
-    /// From asking to the first event of a relayed stream.
+    /// From the request to the first event of a relayed stream.
     FirstEvent,
     /// Between two events of a relayed stream.
     EventInterval,
@@ -79,13 +80,13 @@
 pub enum Reason {
     /// The connection broke after the request was sent.
     Broken,
-    /// A caller came back with a cursor.
+    /// A caller resumed with a cursor.
     Caller,
-    /// The upstream answered that it failed.
+    /// The upstream answered with a failure.
     Fault,
     /// The upstream's stream skipped tokens.
     Gap,
-    /// The upstream is leaving and handed its work back.
+    /// The upstream is leaving and returned its work.
     Leaving,
     /// No connection could be made.
     NotSent,
@@ -93,18 +94,18 @@
     Probe,
     /// The upstream refused.
     Refused,
-    /// Another upstream has the address.
+    /// Another upstream now has the address.
     Replaced,
-    /// The upstream started again.
+    /// The upstream restarted.
     Restarted,
     /// The stream stalled.
     Stall,
-    /// The stream ended without a mark that it is whole.
+    /// The stream ended without its end marker.
     Unmarked,
 }
 
 impl Reason {
-    /// Whether no upstream took the request in: it was not there, or is another one by now.
+    /// Whether no upstream accepted the request: the upstream was not there, or has been replaced.
     pub fn was_never_accepted(self) -> bool {
         matches!(self, Self::Leaving | Self::NotSent | Self::Replaced)
     }
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -1,113 +1,121 @@
-//! What all instances ask of a plain service together, and which part of it the service can serve.
+//! Distributed admission control for plain services: estimates the demand of all instances, and the
+//! share of it that a service can serve.
 //!
-//! The load that this answers: more calls than a service's slots serve, asked at hundreds of instances that
-//! each see a few of them a second. A window of calls that each instance keeps alone can not be less than one
-//! call, and hundreds of such windows are many times what the service holds. So instances tell each other
-//! what they are asked for, and where that is more than the slots serve each admits the same part of its
-//! calls. The part is the same everywhere, however unevenly callers are spread and however little an instance
-//! sees; nothing is kept for an instance that does not need it.
+//! It handles overload that is spread over hundreds of instances, each of which sees a few calls per
+//! second. A concurrency window per instance cannot be smaller than one call, and hundreds of them
+//! exceed a service's slots many times over. So instances gossip their demand, and where the total
+//! exceeds what the slots serve, each admits the same share of its calls. The share is the same
+//! everywhere, however unevenly callers are spread and however little an instance sees. Nothing is
+//! reserved for an instance that does not need it.
 
 use super::*;
 
-/// Time over which calls are counted for their rate, in milliseconds: a burst is known after about as long.
-/// With half of it the rate of 295 instances is no better known, since what they tell is as old.
-const RATE_MS: f64 = 250.0;
+/// Time constant of the arrival rate in milliseconds: a burst is detected after about this long.
+/// Half of it gives no better rate over 295 instances, since the gossiped values are as old.
+const RATE_TIME_CONSTANT_MS: f64 = 250.0;
 
-/// Time between two words to other instances, in milliseconds; several within `RATE_MS` would say the same.
-const TELL_MS: u64 = 250;
+/// Interval of gossip in milliseconds; more messages within `RATE_TIME_CONSTANT_MS` would say
+/// the same.
+const GOSSIP_INTERVAL_MS: u64 = 250;
 
-/// Time after which another instance's word no longer counts, in milliseconds; instances tell more often
-/// while they are asked for anything.
-const KEPT_MS: u64 = 3_000;
+/// Age in milliseconds after which the demand of another instance is stale; instances send more
+/// often while they receive any calls.
+const STALE_MS: u64 = 3_000;
 
-/// Instances that must have been heard before what they tell stands for those that were not: with so many
-/// the whole is known to about a third, and a data centre of a fleet of tens has more.
-const HEARD_LEAST: usize = 8;
+/// Minimum number of reporting instances from which demand is extrapolated to the others: the total
+/// is then known to within about a third, and a data centre of a fleet of tens has more.
+const MIN_REPORTS: usize = 8;
 
-/// AdmittedShare of what the slots serve up to which calls are admitted. With random arrivals at 6 slots and 24 waiting
-/// one call in 60 is turned away at 0.95, one in 200 at 0.9.
-const FILL: f64 = 0.9;
+/// Target utilization of the slots up to which calls are admitted. With random arrivals at 6 slots
+/// and 24 queue places, one call in 60 is rejected at 0.95 and one in 200 at 0.9.
+const TARGET_UTILIZATION: f64 = 0.9;
 
-/// Calls under way for each slot that are aimed at while calls are refused: at the least one that runs, and for some slots one that
-/// waits, so that few are idle; more where answers are wanted late enough, and fewer than a window lets through, or what
-/// waits at a lone instance is not seen.
+/// Range of the target number of calls in flight per slot while calls are refused: at least one
+/// that runs, and for some slots one that waits, so that few are idle; more where the latency
+/// objective allows it, and fewer than a window lets through, or calls waiting at a single instance
+/// go unnoticed.
 const CALLS_PER_SLOT: std::ops::RangeInclusive<f64> = 1.6..=2.4;
 
-/// AdmittedShare of what is served that callers who were refused before may have of it, where new ones would fill it:
-/// their answers are late already. With more of it fewer are refused twice, and more are late.
-const RETURNED_PART: f64 = 0.1;
+/// Share of the capacity left to callers that were refused before, where new calls would take all
+/// of it: their responses are already late. With a larger share fewer are refused twice, and more
+/// are late.
+const RETRY_SHARE: f64 = 0.1;
 
-/// Milliseconds by which a caller's time must be shorter than others' for it to have come back.
+/// Milliseconds by which a caller's timeout must be shorter than others' to count as a retry.
 pub(crate) const RETRY_MARGIN_MS: u64 = 50;
 
-/// Weight of a new sample in the time that calls take, at least.
-const GAIN: f64 = 0.05;
+/// Minimum weight of a new sample in the mean service time.
+const SERVICE_TIME_GAIN: f64 = 0.05;
 
-/// Times of what calls usually take after which one is hung, and says nothing of how many wait.
-const HUNG: f64 = 8.0;
+/// Multiple of the mean service time after which a call counts as hung and is left out of the calls
+/// in flight.
+const HUNG_FACTOR: f64 = 8.0;
 
-/// Times of what a call takes for which one is believed to wait that was turned away: four wait for each slot
-/// where queues are as long as on the users' platform.
-const TURNED_AWAY: f64 = 5.0;
+/// Multiple of the mean service time that a rejected call is assumed to have waited: four calls
+/// wait per slot where queues are as long as on the users' platform.
+const REJECTED_FACTOR: f64 = 5.0;
 
-/// Weight of a new sample in the time that calls take at an upstream: some tens of calls, which all instances
-/// together make within a second while they press.
+/// Weight of a new sample in the mean time that calls take at an upstream: an average over some
+/// tens of calls, which all instances together make within a second under load.
 const UPSTREAM_GAIN: f64 = 0.05;
 
-/// Power of its time by which an upstream is given less. At twice the load 12,271 calls are in time with 0, 13,399
-/// with 1 and 12,391 with 2, which swings.
-const UPSTREAM_POWER: i32 = 1;
+/// Exponent of an upstream's call time in its weight. At twice the load, 12,271 calls are in time
+/// with 0, 13,399 with 1 and 12,391 with 2, which oscillates.
+const UPSTREAM_EXPONENT: i32 = 1;
 
-/// Power of the ratio by which a step goes: what is told is a second old, and whole steps would swing.
-const STEP_POWER: f64 = 0.05;
+/// Exponent that damps each correction step: gossiped values are a second old, and full steps would
+/// oscillate.
+const STEP_EXPONENT: f64 = 0.05;
 
-/// Largest and smallest step of the correction, and its bounds: what calls take may be known wrong by so much.
-const STEPS: std::ops::RangeInclusive<f64> = 0.8..=1.05;
-const CORRECTIONS: std::ops::RangeInclusive<f64> = 0.25..=2.0;
+/// Bounds of one correction step, and of the correction itself: the measured service time may be
+/// wrong by this much.
+const STEP_RANGE: std::ops::RangeInclusive<f64> = 0.8..=1.05;
+const CORRECTION_RANGE: std::ops::RangeInclusive<f64> = 0.25..=2.0;
 
-/// AdmittedShare of what the slots serve from which on callers' own data centre is no longer preferred, and from which
-/// on it does not count at all: its upstreams may be fewer than its callers need.
-const NEAR: std::ops::Range<f64> = 0.5..0.7;
+/// Utilization range over which the preference for the caller's data centre fades to none: its
+/// upstreams may be fewer than its callers need.
+const LOCAL_PREFERENCE_FADE: std::ops::Range<f64> = 0.5..0.7;
 
-/// AdmittedShare of what the slots serve from which on a service is full, and all instances are told at once, not only those of the own data
-/// centre along with something else. With 0.5, which is below the usual load of the large site, that alone added
-/// a half to the bytes between data centres.
-const FULL: f64 = 0.9;
+/// Utilization at which a service is full and demand is sent to all instances at once, not only
+/// within the data centre along with other messages. At 0.5, below the usual load of the large
+/// site, this alone added half as much again to the bytes between data centres.
+const FULL_UTILIZATION: f64 = 0.9;
 
-/// What one instance is asked of a pool.
+/// Demand of one instance for a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// New calls a second.
+    /// New calls per second, without retries.
     pub arrival_rate: f64,
-    /// The call that ended last, if one has since the last word.
+    /// The call that finished last; `None` if none has since the last message.
     pub last_call: Option<FinishedCall>,
     /// Name of the pool.
     pub pool: Arc<str>,
-    /// Calls a second of callers that came back after a refusal.
+    /// Calls per second from callers that retry after a refusal.
     pub retry_rate: f64,
-    /// Calls under way.
+    /// Calls in flight or queued at this instance, without hung ones.
     pub running: u32,
-    /// Milliseconds that a call takes while none waits; 0 if this instance has seen none.
+    /// Mean time in milliseconds that a call takes while none is queued; 0 before the first sample.
     pub service_time_ms: f64,
 }
 
-/// How long a call took, as one upstream answered it.
+/// A finished call and the upstream that handled it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FinishedCall {
-    /// Time from sending to the answer, in milliseconds; for one that was turned away, that behind a full queue.
+    /// Time from sending to the response in milliseconds; for a rejected call, the assumed wait
+    /// behind a full queue.
     pub duration_ms: u32,
-    /// The number of the upstream's life.
+    /// Hash of the upstream's incarnation.
     pub upstream: u64,
 }
 
-/// Events a second, the recent ones counting most.
+/// Exponentially decaying event rate.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     at: Time,
     level: f64,
 }
 
-/// What an instance told, and when.
+/// Demand last received from another instance.
 #[derive(Clone, Copy, Debug)]
 struct PeerDemand {
     arrival_rate: f64,
@@ -117,46 +125,48 @@
     service_time_ms: f64,
 }
 
-/// What all instances ask for.
+/// Estimated demand of all instances.
 #[derive(Clone, Copy, Debug, Default)]
 struct FleetDemand {
     arrival_rate: f64,
     retry_rate: f64,
     running: f64,
-    /// Milliseconds that a call takes while none waits, as the mean of what instances saw; 0 if none saw any.
+    /// Mean time in milliseconds that a call takes while none is queued, over all instances; 0 if
+    /// none has a sample.
     service_time_ms: f64,
 }
 
-/// Which part of the calls is admitted; above 1 while there is room for more.
+/// Probability of admission by kind of caller; above 1 while there is spare capacity.
 #[derive(Clone, Copy, Debug)]
 struct AdmittedShare {
-    /// Of new ones.
+    /// For new calls.
     new: f64,
-    /// Of those whose callers came back.
+    /// For retries after a refusal.
     retry: f64,
 }
 
-/// What is known of the demand for one pool.
+/// Tracks the demand for one pool and the admitted share.
 #[derive(Clone, Debug)]
 pub(crate) struct DemandTracker {
-    adjusted: Time,
+    /// When the correction was last adjusted.
+    adjusted_at: Time,
+    admitted: AdmittedShare,
     arrivals: Rate,
-    /// By how much more, or less, is admitted than slots and times say.
+    broadcast_at: Time,
+    /// Factor on the capacity computed from slots and service time, as corrected by feedback.
     correction: f64,
-    /// The call that ended last, if the others were not told of it yet.
+    /// The call that finished last, unless already sent to other instances.
     last_call: Option<FinishedCall>,
-    /// What is asked for, over what is served.
+    /// Demand over capacity.
     load: f64,
-    /// Time in which the answer to the last call was wanted, in milliseconds.
+    /// Latency objective of the last call in milliseconds.
     objective_ms: f64,
     others: HashMap<SocketAddr, PeerDemand>,
-    admitted: AdmittedShare,
     retries: Rate,
-    /// Calls whose time was taken.
+    /// Number of samples in the service time.
     samples: f64,
-    /// Milliseconds that a call takes while none waits.
+    /// Mean time in milliseconds that a call takes while none is queued.
     service_time_ms: f64,
-    broadcast_at: Time,
 }
 
 impl Rate {
@@ -166,11 +176,11 @@
     }
 
     fn level(&self, now: Time) -> f64 {
-        self.level * (-(now.since(self.at) as f64) / RATE_MS).exp()
+        self.level * (-(now.since(self.at) as f64) / RATE_TIME_CONSTANT_MS).exp()
     }
 
     fn per_second(&self, now: Time) -> f64 {
-        self.level(now) * 1_000.0 / RATE_MS
+        self.level(now) * 1_000.0 / RATE_TIME_CONSTANT_MS
     }
 }
 
@@ -184,80 +194,80 @@
 impl Default for DemandTracker {
     fn default() -> Self {
         Self {
-            adjusted: Time::default(),
+            adjusted_at: Time::default(),
+            admitted: AdmittedShare::ALL,
             arrivals: Rate::default(),
+            broadcast_at: Time::default(),
             correction: 1.0,
             last_call: None,
             load: 0.0,
             objective_ms: 0.0,
             others: HashMap::new(),
-            admitted: AdmittedShare::ALL,
             retries: Rate::default(),
             samples: 0.0,
             service_time_ms: 0.0,
-            broadcast_at: Time::default(),
         }
     }
 }
 
 impl DemandTracker {
-    /// Another instance told what it is asked for.
+    /// Records the demand received from another instance.
     fn merge_peer(&mut self, from: SocketAddr, demand: &Demand, now: Time) {
-        let told = PeerDemand {
+        let peer = PeerDemand {
             arrival_rate: demand.arrival_rate,
             at: now,
             retry_rate: demand.retry_rate,
             running: demand.running,
             service_time_ms: demand.service_time_ms,
         };
-        self.others.insert(from, told);
+        self.others.insert(from, peer);
     }
 
-    /// Whether any instance was asked for anything.
+    /// Whether any instance has reported a call for this pool.
     fn is_known(&self) -> bool {
         self.arrivals.level + self.retries.level > 0.0 || !self.others.is_empty()
     }
 
-    /// A call was answered after some time, while none waited at the service.
-    fn answered(&mut self, millis: u64) {
+    /// Records the duration of a call that did not queue at the service.
+    fn record_service_time(&mut self, millis: u64) {
         self.samples += 1.0;
         self.service_time_ms +=
-            (millis as f64 - self.service_time_ms) * (1.0 / self.samples).max(GAIN);
+            (millis as f64 - self.service_time_ms) * (1.0 / self.samples).max(SERVICE_TIME_GAIN);
     }
 
-    /// Milliseconds that a call takes while none waits; 0 if this instance has seen none.
+    /// Mean time in milliseconds that a call takes while none is queued; 0 before the first sample.
     pub fn service_time_ms(&self) -> f64 {
         self.service_time_ms
     }
 
-    /// Age from which on a call is hung, in milliseconds.
+    /// Age in milliseconds above which a call counts as hung.
     fn hung_ms(&self) -> u64 {
         if self.service_time_ms == 0.0 {
             return u64::MAX;
         }
-        (self.service_time_ms * HUNG) as u64
+        (self.service_time_ms * HUNG_FACTOR) as u64
     }
 
-    /// What all instances ask for, this one's own calls under way with them. Those that were not heard are
-    /// believed to be like those that were.
-    fn whole(&self, running: u32, instances: u32, now: Time) -> FleetDemand {
+    /// Estimates the demand of all instances, including this one with `running` calls of its own.
+    /// Instances that have not reported are assumed to be like those that have.
+    fn total(&self, running: u32, instances: u32, now: Time) -> FleetDemand {
         let recent = self.others.values();
-        let recent = recent.filter(|told| now.since(told.at) < KEPT_MS);
-        let mut heard = 0;
+        let recent = recent.filter(|peer| now.since(peer.at) < STALE_MS);
+        let mut reports = 0;
         let mut others = FleetDemand::default();
         let (mut service_time_ms, mut known) =
             (self.service_time_ms, u32::from(self.service_time_ms > 0.0));
-        for told in recent {
-            heard += 1;
-            service_time_ms += told.service_time_ms;
-            known += u32::from(told.service_time_ms > 0.0);
-            others.arrival_rate += told.arrival_rate;
-            others.retry_rate += told.retry_rate;
-            others.running += f64::from(told.running);
+        for peer in recent {
+            reports += 1;
+            service_time_ms += peer.service_time_ms;
+            known += u32::from(peer.service_time_ms > 0.0);
+            others.arrival_rate += peer.arrival_rate;
+            others.retry_rate += peer.retry_rate;
+            others.running += f64::from(peer.running);
         }
         let missing = instances as usize - 1;
-        let scale = if heard >= HEARD_LEAST && missing > heard {
-            missing as f64 / heard as f64
+        let scale = if reports >= MIN_REPORTS && missing > reports {
+            missing as f64 / reports as f64
         } else {
             1.0
         };
@@ -269,79 +279,84 @@
         }
     }
 
-    /// Takes in what all instances ask of so many slots.
-    fn adjust(&mut self, whole: FleetDemand, slots: f64, wait: f64, now: Time) {
+    /// Computes the load and the admitted share from the demand of all instances and the number of
+    /// slots.
+    fn update(&mut self, total: FleetDemand, slots: f64, wait: f64, now: Time) {
         self.admitted = AdmittedShare::ALL;
         self.load = 0.0;
-        let asked = whole.arrival_rate + whole.retry_rate;
-        if slots <= 0.0 || whole.service_time_ms <= 0.0 || asked <= 0.0 {
+        let demand = total.arrival_rate + total.retry_rate;
+        if slots <= 0.0 || total.service_time_ms <= 0.0 || demand <= 0.0 {
             return;
         }
-        let places = FILL * slots * 1_000.0 / whole.service_time_ms;
-        let limits = places * self.correction < asked;
-        if now.since(self.adjusted) >= TELL_MS {
-            self.adjusted = now;
-            let aim = self.aim(whole.service_time_ms, wait);
-            self.correct(whole.running / slots, aim, limits);
+        let capacity = TARGET_UTILIZATION * slots * 1_000.0 / total.service_time_ms;
+        let is_overloaded = capacity * self.correction < demand;
+        if now.since(self.adjusted_at) >= GOSSIP_INTERVAL_MS {
+            self.adjusted_at = now;
+            let target = self.target(total.service_time_ms, wait);
+            self.correct(total.running / slots, target, is_overloaded);
         }
-        let served = places * self.correction;
-        let returned = (served - whole.arrival_rate).max(served * RETURNED_PART);
-        let new = served - returned.min(whole.retry_rate);
-        self.load = asked / served;
+        let served = capacity * self.correction;
+        let retried = (served - total.arrival_rate).max(served * RETRY_SHARE);
+        let new = served - retried.min(total.retry_rate);
+        self.load = demand / served;
         self.admitted = AdmittedShare {
-            new: new / whole.arrival_rate,
-            retry: returned / whole.retry_rate,
+            new: new / total.arrival_rate,
+            retry: retried / total.retry_rate,
         };
     }
 
-    /// Calls under way for each slot that are aimed at while calls are refused: as many as have their answers in a part of the time
-    /// wanted. With a fixed number a service whose calls take a fourth of that time was left idle by chance while a fifth of
-    /// its calls were refused.
-    fn aim(&self, service_time_ms: f64, wait: f64) -> f64 {
+    /// Target number of calls in flight per slot while calls are refused: as many as complete
+    /// within a fraction of the latency objective. With a fixed number, a service whose calls take
+    /// a fourth of it was idle by chance while a fifth of its calls were refused.
+    fn target(&self, service_time_ms: f64, wait: f64) -> f64 {
         let (least, most) = (*CALLS_PER_SLOT.start(), *CALLS_PER_SLOT.end());
         (self.objective_ms * wait / service_time_ms).clamp(least, most)
     }
 
-    /// Follows the calls under way for each slot: admits fewer where too many wait, also if what calls take is
-    /// known wrong, and more where places are idle though calls are refused.
-    fn correct(&mut self, running: f64, aim: f64, limits: bool) {
-        let ratio = if limits || running > aim {
-            aim / running.max(f64::EPSILON)
+    /// Adjusts the correction by the calls in flight per slot: admits fewer where too many wait,
+    /// also if the service time is wrong, and more where slots are idle although calls are refused.
+    fn correct(&mut self, running: f64, target: f64, is_overloaded: bool) {
+        let ratio = if is_overloaded || running > target {
+            target / running.max(f64::EPSILON)
         } else {
-            // What was corrected in a burst is forgotten behind it.
+            // Let the correction made during a burst decay.
             1.0 / self.correction
         };
-        let step = ratio.powf(STEP_POWER).clamp(*STEPS.start(), *STEPS.end());
+        let step = ratio
+            .powf(STEP_EXPONENT)
+            .clamp(*STEP_RANGE.start(), *STEP_RANGE.end());
         let correction = self.correction * step;
-        self.correction = correction.clamp(*CORRECTIONS.start(), *CORRECTIONS.end());
+        self.correction = correction.clamp(*CORRECTION_RANGE.start(), *CORRECTION_RANGE.end());
     }
 
-    /// How much an upstream in the own data centre is preferred: 1 while the service is far from full, 0 when
-    /// it is nearly so.
+    /// Preference for upstreams in the own data centre: 1 while the service is far from full, 0
+    /// when it is nearly full.
     pub fn local_preference(&self) -> f64 {
-        ((NEAR.end - self.load) / (NEAR.end - NEAR.start)).clamp(0.0, 1.0)
+        ((LOCAL_PREFERENCE_FADE.end - self.load)
+            / (LOCAL_PREFERENCE_FADE.end - LOCAL_PREFERENCE_FADE.start))
+            .clamp(0.0, 1.0)
     }
 }
 
 impl Core {
-    /// Another instance told what it is asked of a pool.
+    /// Records the demand of another instance for a pool, and the call that finished there last.
     pub(crate) fn record_peer_demand(&mut self, from: SocketAddr, demand: &Demand) {
-        if let Some(ended) = demand.last_call {
-            self.note_ended(&demand.pool, ended);
+        if let Some(call) = demand.last_call {
+            self.record_upstream_time(&demand.pool, call);
         }
         let pool = self.pools.entry(demand.pool.clone()).or_default();
         pool.demands.merge_peer(from, demand, self.now);
     }
 
-    /// Notes how long a call took at an upstream, here or at another instance.
-    fn note_ended(&mut self, pool: &str, ended: FinishedCall) {
+    /// Updates the mean call time of an upstream with a call made here or at another instance.
+    fn record_upstream_time(&mut self, pool: &str, call: FinishedCall) {
         let Some(pool) = self.pools.get(pool) else {
             return;
         };
-        let millis = f64::from(ended.duration_ms);
+        let millis = f64::from(call.duration_ms);
         for key in &pool.upstreams {
             let upstream = &mut self.upstreams[*key];
-            if upstream.life.number() == ended.upstream {
+            if upstream.life.number() == call.upstream {
                 let step = (millis - upstream.takes_ms) * UPSTREAM_GAIN;
                 upstream.takes_ms = if upstream.takes_ms > 0.0 {
                     upstream.takes_ms + step
@@ -352,8 +367,9 @@
         }
     }
 
-    /// The upstream for a call while its service is nearly full: at random, those that answer sooner more
-    /// often. So each is given what it serves, though they differ and none tells its load.
+    /// Chooses an upstream for a call while its service is nearly full: at random, weighted by
+    /// slots over mean call time. Each gets what it serves, although they differ and none reports
+    /// its load.
     pub(crate) fn choose_by_service_time(
         &mut self,
         candidates: &[upstream::Key],
@@ -372,7 +388,7 @@
             } else {
                 mean.max(1.0)
             };
-            f64::from(upstream.listed_slots) / service_time_ms.powi(UPSTREAM_POWER)
+            f64::from(upstream.listed_slots) / service_time_ms.powi(UPSTREAM_EXPONENT)
         };
         let weights: Vec<f64> = candidates.iter().map(weight).collect();
         let mut point = self.rng.random::<f64>() * weights.iter().sum::<f64>();
@@ -385,45 +401,46 @@
         candidates.last().copied()
     }
 
-    /// Whether upstreams of a pool are chosen by the time that they take.
+    /// Whether a pool is so loaded that upstreams are chosen by their call times.
     pub(crate) fn is_near_capacity(&self, pool: &str) -> bool {
         let pool = self.pools.get(pool);
         self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.local_preference() < 1.0)
     }
 
-    /// Whether a pool is asked for nearly all that its slots serve.
+    /// Whether the demand for a pool is nearly all that its slots can serve.
     pub(crate) fn is_at_capacity(&self, pool: &str) -> bool {
         let pool = self.pools.get(pool);
-        self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.load >= FULL)
+        self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.load >= FULL_UTILIZATION)
     }
 
-    /// Whether a new call is among those that the service can serve. One that is not is refused at once.
+    /// Admits a new call if it is within the share that the service can serve; refuses it at once
+    /// otherwise.
     pub(crate) fn check_demand(&mut self, request: &Request) -> Result<(), admission::Refusal> {
         if !self.settings.calls.demand || request.service.streams() {
             return Ok(());
         }
         let name: Arc<str> = request.service.pool().into();
         let now = self.now;
-        let came_back = request.waited_ms >= RETRY_MARGIN_MS;
+        let is_retry = request.waited_ms >= RETRY_MARGIN_MS;
         let objective_ms = request
             .service
             .relay()
             .map_or(0, |relay| relay.objective_ms);
         let demands = &mut self.pools.entry(name.clone()).or_default().demands;
         demands.objective_ms = objective_ms as f64;
-        if came_back {
+        if is_retry {
             demands.retries.add(now);
         } else {
             demands.arrivals.add(now);
         }
-        self.measure_demand(&name);
+        self.update_demand(&name);
         if self.is_limited(&self.pools[&name]) {
-            // Permits admit, here and at the few other instances that have any.
+            // Admission is decided by permits, here and at the few other instances that hold any.
             return Ok(());
         }
-        let part = self.pools[&name].demands.admitted;
-        let part = if came_back { part.retry } else { part.new };
-        if part >= 1.0 || self.rng.random::<f64>() < part {
+        let share = self.pools[&name].demands.admitted;
+        let share = if is_retry { share.retry } else { share.new };
+        if share >= 1.0 || self.rng.random::<f64>() < share {
             return Ok(());
         }
         self.record_shortage(request);
@@ -433,30 +450,31 @@
         })
     }
 
-    /// Tells other instances what this one is asked for.
+    /// Sends this instance's demand to other instances.
     pub(crate) fn broadcast_demand(&mut self) {
         let now = self.now;
-        let due = |pool: &core::Pool| now.since(pool.demands.broadcast_at) >= TELL_MS;
-        // An instance that is asked nothing says so, or it would be believed to be like the others.
-        let asks = |pool: &core::Pool| pool.demands.is_known();
+        let due = |pool: &core::Pool| now.since(pool.demands.broadcast_at) >= GOSSIP_INTERVAL_MS;
+        // An instance without calls reports that too; otherwise it would be assumed to be like the
+        // others.
+        let has_demand = |pool: &core::Pool| pool.demands.is_known();
         let due: Vec<Arc<str>> = self
             .pools
             .iter()
-            .filter(|(_, pool)| due(pool) && asks(pool))
+            .filter(|(_, pool)| due(pool) && has_demand(pool))
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            self.measure_demand(&name);
-            let running = self.under_way(&name);
+            self.update_demand(&name);
+            let running = self.calls_in_flight(&name);
             let Some(pool) = self.pools.get_mut(&name) else {
                 continue;
             };
             pool.demands.broadcast_at = now;
-            let pressed = pool.demands.load >= FULL;
-            let last_call = pool.demands.last_call.take().filter(|_| pressed);
+            let is_full = pool.demands.load >= FULL_UTILIZATION;
+            let last_call = pool.demands.last_call.take().filter(|_| is_full);
             pool.demands
                 .others
-                .retain(|_, told| now.since(told.at) < KEPT_MS);
+                .retain(|_, peer| now.since(peer.at) < STALE_MS);
             let demand = Demand {
                 arrival_rate: pool.demands.arrivals.per_second(now),
                 last_call,
@@ -465,58 +483,61 @@
                 running,
                 service_time_ms: pool.demands.service_time_ms,
             };
-            self.effects.push(Effect::Demand { demand, pressed });
+            self.effects.push(Effect::Demand {
+                demand,
+                pressed: is_full,
+            });
         }
     }
 
-    /// Notes that a call ended, with an answer or turned away. While calls wait at the service the time of an
-    /// answer is not its own.
+    /// Records that a call finished or was rejected. While calls wait at the service, the duration
+    /// is not a sample of the service time.
     pub(crate) fn record_call_duration(&mut self, name: &str, attempt: &Attempt, answered: bool) {
-        let running = self.under_way(name);
+        let running = self.calls_in_flight(name);
         let (instances, now) = (self.instances, self.now);
         let upstream = self.upstreams.get(attempt.upstream);
         let upstream = upstream.map_or(0, |upstream| upstream.life.number());
         let Some(pool) = self.pools.get(name) else {
             return;
         };
-        let whole = pool.demands.whole(running, instances, now);
-        let slots = self.slots(pool, whole.service_time_ms);
+        let total = pool.demands.total(running, instances, now);
+        let slots = self.slots(pool, total.service_time_ms);
         let Some(pool) = self.pools.get_mut(name) else {
             return;
         };
         let millis = if answered {
             now.since(attempt.sent_at)
         } else {
-            (whole.service_time_ms * TURNED_AWAY) as u64
+            (total.service_time_ms * REJECTED_FACTOR) as u64
         };
-        if answered && (whole.running < slots || whole.service_time_ms == 0.0) {
-            pool.demands.answered(millis);
+        if answered && (total.running < slots || total.service_time_ms == 0.0) {
+            pool.demands.record_service_time(millis);
         }
-        let ended = FinishedCall {
+        let call = FinishedCall {
             duration_ms: millis as u32,
             upstream,
         };
-        pool.demands.last_call = Some(ended);
-        self.note_ended(name, ended);
+        pool.demands.last_call = Some(call);
+        self.record_upstream_time(name, call);
     }
 
-    /// Takes in what is known of the demand for a pool now.
-    fn measure_demand(&mut self, name: &str) {
-        let running = self.under_way(name);
+    /// Updates the load and admitted share of a pool.
+    fn update_demand(&mut self, name: &str) {
+        let running = self.calls_in_flight(name);
         let (instances, now) = (self.instances, self.now);
         let Some(pool) = self.pools.get(name) else {
             return;
         };
-        let whole = pool.demands.whole(running, instances, now);
-        let slots = self.slots(pool, whole.service_time_ms);
+        let total = pool.demands.total(running, instances, now);
+        let slots = self.slots(pool, total.service_time_ms);
         if let Some(pool) = self.pools.get_mut(name) {
             pool.demands
-                .adjust(whole, slots, self.settings.calls.wait, now);
+                .update(total, slots, self.settings.calls.wait, now);
         }
     }
 
-    /// Slots of a pool's upstreams that take work, by the list. One that names a limit counts with the slots that so many
-    /// calls keep busy.
+    /// Number of listed slots of a pool's upstreams that accept work. An upstream that names a rate
+    /// limit counts with the slots that calls at its rate keep busy.
     fn slots(&self, pool: &core::Pool, service_time_ms: f64) -> f64 {
         let slots = |upstream: &Upstream| {
             let listed = f64::from(upstream.listed_slots);
@@ -530,9 +551,10 @@
             .sum()
     }
 
-    /// Calls of a pool under way or waiting here, without those that hang: what waits for the window is late too, and with it unseen
-    /// a lone instance admitted three times what was served in time.
-    fn under_way(&self, name: &str) -> u32 {
+    /// Calls of a pool in flight or queued here, without hung ones. Calls queued for the window are
+    /// late too; without counting them, a single instance admitted three times what was served in
+    /// time.
+    fn calls_in_flight(&self, name: &str) -> u32 {
         let Some(pool) = self.pools.get(name) else {
             return 0;
         };
@@ -540,7 +562,7 @@
         let attempts = self
             .upstreams_of(pool)
             .flat_map(|upstream| &upstream.attempts);
-        let fresh = attempts.filter(|key| self.now.since(self.attempts[**key].sent_at) < hung);
-        (fresh.count() + pool.queue.len()) as u32
+        let active = attempts.filter(|key| self.now.since(self.attempts[**key].sent_at) < hung);
+        (active.count() + pool.queue.len()) as u32
     }
 }
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,29 +1,29 @@
-//! Conditions that must hold at every moment, checked where they could be broken.
+//! Invariants, checked where they could be violated.
 
 use super::*;
 
-/// A condition that was found broken.
+/// An invariant that was violated.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Invariant {
-    /// A request was answered twice.
+    /// A request received two responses.
     AnsweredTwice,
-    /// Tokens were to be delivered at another position than the next one.
+    /// Tokens were about to be delivered at a position other than the next one.
     ContiguousTokens,
-    /// The configuration would have gone to a lower revision.
+    /// The configuration would have gone back to a lower revision.
     NeverReverts,
-    /// A request that ends the upstreams that run it was to be sent.
+    /// A quarantined request was about to be sent.
     NoQuarantinedWork,
-    /// An upstream was given more work than this instance's part of the limit that it named.
+    /// An upstream was given more work than this instance's share of its rate limit.
     NoWorkBeyondLimit,
     /// An upstream that is leaving was given new work.
     NoWorkWhenLeaving,
-    /// An upstream that asked for rest was given new work.
+    /// An upstream that asked for a backoff was given new work.
     NoWorkWhenResting,
-    /// A request refused as "not run" had been sent.
+    /// A request that was refused as not run had been sent.
     NotRunIsTrue,
-    /// A non-repeatable request was to be sent although it may have run.
+    /// A non-repeatable request was about to be sent although it may have run.
     RunsOnce,
-    /// Tokens of another generation or attempt were to be delivered.
+    /// Tokens of another generation or attempt were about to be delivered.
     SameGeneration,
 }
 
--- a/crates/core/src/kind.rs
+++ b/crates/core/src/kind.rs
@@ -1,85 +1,86 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! Error kinds and the response that each one gives.
 
 use super::*;
 
-/// Why a request was not answered as asked.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Kind {
     /// The idempotency key was claimed before, by the same request.
     AlreadyClaimed,
-    /// The body is not what the interface describes.
+    /// The body is not a valid request.
     BadBody,
     /// The cursor is forged, foreign, or of another request.
     BadCursor,
     /// The idempotency key is no `UUIDv7`, too old, or from the future.
     BadKey,
-    /// The tokens that would be needed to go on are gone or do not match the cursor.
+    /// The tokens needed to continue are gone or do not match the cursor.
     CannotResume,
-    /// The customer has as many requests running as it may have.
+    /// The customer has reached its limit of running requests.
     CustomerLimit,
     /// The deadline passed before the request was sent anywhere.
     Deadline,
-    /// Upstreams ended while they ran the request, which was sent once more and is not again.
+    /// Upstreams crashed while they ran the request, which was sent once more and is not sent
+    /// again.
     EndsUpstreams,
     /// The head of the request is larger than the limit.
     HeadTooLarge,
-    /// An invariant was broken; the answer would have been wrong.
+    /// An invariant was violated; the response would have been wrong.
     Internal,
     /// The service runs a request at most once and needs an idempotency key.
     KeyRequired,
     /// The idempotency key was claimed before, by another request.
     KeyReused,
-    /// No live upstream serves this.
+    /// No live upstream serves the requested model or service.
     NoUpstream,
     /// The instance has no configuration yet.
     NotReady,
-    /// Too much work is waiting or held.
+    /// Too much work is queued or held in memory.
     Overloaded,
-    /// The platform's key-value service did not answer; needed for at-most-once.
+    /// The platform's key-value service did not answer; it is needed for at-most-once execution.
     PlatformDown,
-    /// Upstreams ended while they ran the same request before; it was not sent.
+    /// Upstreams crashed while they ran the same request before; it was not sent.
     Quarantined,
     /// The caller took too long to send its request.
     SlowBody,
     /// The deadline passed after the request was sent.
     TimedOut,
-    /// The body or the answer asked for is larger than the limit.
+    /// The body or the requested response is larger than the limit.
     TooLarge,
-    /// The caller's time is too short for the answer.
+    /// The time left is too short for the response.
     TooLate,
-    /// No customer has this key, or it may not use the service.
+    /// No customer has this key, or the customer may not use the service.
     Unauthorized,
-    /// The request may have run; its outcome is lost.
+    /// The request may have run; its outcome is unknown.
     Unknown,
     /// No service of this name is declared.
     UnknownService,
     /// Upstreams failed more often than the retry budget allows.
     UpstreamFailed,
-    /// The upstream called the request wrong.
+    /// The upstream rejected the request as invalid.
     UpstreamRejected,
 }
 
-/// Whether an upstream ran a request that was answered with an error.
+/// Whether an upstream ran a request that failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ran {
-    /// It may have run, in part or whole.
+    /// It may have run, partly or completely.
     Maybe,
     /// It did not run.
     No,
 }
 
-/// How a kind is told to the caller.
+/// The error response for a kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// Name of the kind in answers, logs and counters.
+    /// Name of the kind in responses, logs and counters.
     pub name: &'static str,
     /// Whether the request ran.
     pub ran: Ran,
-    /// Whether asking again later, unchanged, can succeed.
+    /// Whether a retry of the unchanged request can succeed later.
     pub retry: bool,
     /// HTTP status.
     pub status: u16,
-    /// One sentence for the caller.
+    /// Message for the caller.
     pub text: &'static str,
 }
 
@@ -114,7 +115,7 @@
         Self::UpstreamRejected,
     ];
 
-    /// The table from kind to answer.
+    /// The error response for this kind.
     #[rustfmt::skip]
     pub fn answer(self) -> Answer {
         use Ran::{Maybe, No};
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,205 +1,219 @@
-//! Which requests end the upstreams that run them ("poison requests"): what instances saw, and what follows from it.
+//! Detection of poison requests: requests that crash the upstreams that run them.
 //!
-//! An upstream that ends takes with it all that ran or waited there, so one end tells little of one request. The account
-//! has of each life that ended unplanned which requests were there; accounts of several instances merge, in any order and as often
-//! as they are told. A request is guilty that was at three ends, whoever was beside it. An answer that comes whole clears a
-//! request of all ends before it. Another rule, which a setting chooses, holds an end that a guilty request explains against
-//! nobody else.
+//! A crash takes down everything that ran or waited at the upstream, so one crash says little about
+//! one request. The crash history records which requests were present at the unplanned end of each
+//! incarnation; histories of several instances merge in any order and any number of times. A
+//! request is quarantined after three crashes, whichever requests were beside it. A complete
+//! response clears it of all earlier crashes. Another rule, selected by a setting, does not count
+//! crashes that a quarantined request explains against any other request.
 
 use super::*;
 
-/// Ends by which a request is guilty: the users count what is sent behind the third.
+/// Crashes after which a request is quarantined: the users count attempts after the third.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
-/// Ends by which a request is guilty though others explain them: of two that are sent together each would hide behind the
-/// other. Two more than three are within what the users allow behind the third.
-const GUILTY_ANYWAY: usize = 5;
+/// Crashes after which a request is quarantined even if others explain them: two poison requests
+/// sent together would mask each other. Two more than three stays within what the users allow after
+/// the third.
+const TOTAL_CRASH_THRESHOLD: usize = 5;
 
-/// Ends kept, at most: those of 170 guilty requests, or a kilobyte for each of 512 with some forty requests each. Beyond it those
-/// that no request is guilty by go first, then the oldest.
-const KEPT: usize = 512;
+/// Maximum number of crashes kept: those of 170 poison requests, at a kilobyte for each of 512 with
+/// some forty requests. Crashes that quarantine no request are evicted first, then the oldest.
+const MAX_CRASHES: usize = 512;
 
-/// Requests kept of one end, at most: as many as an upstream of the largest sites runs at once.
-const THERE: usize = 64;
+/// Maximum number of requests kept per crash: as many as an upstream of the largest sites runs at
+/// once.
+const MAX_REQUESTS_PER_CRASH: usize = 64;
 
-/// Time for which an end is kept, in milliseconds: a day. A request that was refused for so long is tried once more.
-const LAPSES_MS: u64 = 24 * 3_600_000;
+/// Retention of a crash in milliseconds: one day. A request refused for that long is tried again.
+const RETENTION_MS: u64 = 24 * 3_600_000;
 
-/// What is known of a request that was at an upstream when it ended. Of two that are told the later one counts.
+/// Involvement of a request in a crash. Of two reports the greater one wins.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Involvement {
-    /// Nothing of its answer had come from there, or for less than half a second.
+    /// No part of the response had arrived, or it had been arriving for less than half a second.
     Fresh,
-    /// Its answer had come from there for longer.
+    /// The response had been arriving for longer.
     Ran,
-    /// It was answered whole since.
+    /// A complete response has arrived since.
     Cleared,
 }
 
-/// The unplanned end of one life of an upstream.
+/// The unplanned end of one incarnation of an upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
-    /// When the first instance saw it.
+    /// The earliest time at which an instance observed it.
     pub at: Time,
-    /// The requests that ran or waited there.
+    /// Requests that ran or waited on the upstream.
     pub requests: BTreeMap<Print, Involvement>,
 }
 
-/// Unplanned ends of upstreams.
+/// A mergeable record of upstream crashes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CrashHistory {
     crashes: BTreeMap<Life, Crash>,
 }
 
 impl CrashHistory {
-    /// Notes that a request was at an upstream that ended; whether that is news.
-    pub fn record(&mut self, life: Life, print: Print, part: Involvement, at: Time) -> bool {
-        let end = self.crashes.entry(life).or_insert_with(|| Crash {
+    /// Records that a request was at an upstream that crashed. Returns whether that is new.
+    pub fn record(&mut self, life: Life, print: Print, involvement: Involvement, at: Time) -> bool {
+        let crash = self.crashes.entry(life).or_insert_with(|| Crash {
             at,
             requests: BTreeMap::new(),
         });
-        end.at = end.at.min(at);
-        if end.requests.len() >= THERE && !end.requests.contains_key(&print) {
+        crash.at = crash.at.min(at);
+        if crash.requests.len() >= MAX_REQUESTS_PER_CRASH && !crash.requests.contains_key(&print) {
             return false;
         }
-        let known = end.requests.insert(print, part);
-        let before = known.filter(|before| *before >= part);
+        let known = crash.requests.insert(print, involvement);
+        let before = known.filter(|before| *before >= involvement);
         if let Some(before) = before {
-            end.requests.insert(print, before);
+            crash.requests.insert(print, before);
         }
         before.is_none()
     }
 
-    /// Clears a request of all ends so far; what is to be told of it.
+    /// Clears a request of all crashes so far. Returns the changes to announce.
     #[must_use]
     pub fn clear(&mut self, print: Print) -> Self {
         let mut cleared = Self::default();
-        for (life, end) in &mut self.crashes {
-            if let Some(part) = end.requests.get_mut(&print)
-                && *part != Involvement::Cleared
+        for (life, crash) in &mut self.crashes {
+            if let Some(involvement) = crash.requests.get_mut(&print)
+                && *involvement != Involvement::Cleared
             {
-                *part = Involvement::Cleared;
-                cleared.record(*life, print, Involvement::Cleared, end.at);
+                *involvement = Involvement::Cleared;
+                cleared.record(*life, print, Involvement::Cleared, crash.at);
             }
         }
         cleared
     }
 
-    /// The ends at which a request was, of which it was not cleared.
+    /// Crashes at which a request was present and of which it has not been cleared.
     pub fn crashes_of(&self, print: Print) -> impl Iterator<Item = Life> {
-        let there = move |end: &Crash| {
-            end.requests
+        let is_suspect = move |crash: &Crash| {
+            crash
+                .requests
                 .get(&print)
-                .is_some_and(|part| *part != Involvement::Cleared)
+                .is_some_and(|involvement| *involvement != Involvement::Cleared)
         };
-        let ends = self.crashes.iter();
-        ends.filter(move |(_, end)| there(end))
+        let crashes = self.crashes.iter();
+        crashes
+            .filter(move |(_, crash)| is_suspect(crash))
             .map(|(life, _)| *life)
     }
 
-    /// Ends in the order of their lives.
+    /// Crashes in the order of their incarnations.
     pub fn crashes(&self) -> impl Iterator<Item = (Life, &Crash)> {
-        self.crashes.iter().map(|(life, end)| (*life, end))
+        self.crashes.iter().map(|(life, crash)| (*life, crash))
     }
 
-    /// Whether the end of a life is known.
+    /// Whether the crash of an incarnation is recorded.
     pub fn contains(&self, life: Life) -> bool {
         self.crashes.contains_key(&life)
     }
 
-    /// Whether no end is known.
+    /// Whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty()
     }
 
-    /// Ends known.
+    /// Number of recorded crashes.
     pub fn len(&self) -> usize {
         self.crashes.len()
     }
 
-    /// What accounts that hold the same have in common, whatever order they were told in; 0 for an empty one.
+    /// A digest of the content that does not depend on the order in which it was received; 0 for an
+    /// empty history.
     pub fn digest(&self) -> u64 {
-        let parts = self.crashes.iter().flat_map(|(life, end)| {
-            let there = end.requests.iter();
-            there.map(|(print, part)| mix(life.number() ^ mix(print.0 ^ (*part as u64 + 1))))
+        let parts = self.crashes.iter().flat_map(|(life, crash)| {
+            let requests = crash.requests.iter();
+            requests.map(|(print, involvement)| {
+                mix(life.number() ^ mix(print.0 ^ (*involvement as u64 + 1)))
+            })
         });
         parts.fold(0, |digest, part| digest ^ part)
     }
 
-    /// Takes in another account; what of it was news.
+    /// Merges another history into this one. Returns the part of it that was new.
     #[must_use]
     pub fn merge(&mut self, other: &Self) -> Self {
         let mut news = Self::default();
-        for (life, end) in &other.crashes {
-            for (print, part) in &end.requests {
-                if self.record(*life, *print, *part, end.at) {
-                    news.record(*life, *print, *part, end.at);
+        for (life, crash) in &other.crashes {
+            for (print, involvement) in &crash.requests {
+                if self.record(*life, *print, *involvement, crash.at) {
+                    news.record(*life, *print, *involvement, crash.at);
                 }
             }
         }
         news
     }
 
-    /// The part of it that one request is guilty by.
+    /// The subset of the history that counts against one request.
     #[must_use]
     pub fn evidence_for(&self, print: Print) -> Self {
-        let mut part = Self::default();
+        let mut evidence = Self::default();
         for life in self.crashes_of(print) {
-            let end = &self.crashes[&life];
-            part.record(life, print, end.requests[&print], end.at);
+            let crash = &self.crashes[&life];
+            evidence.record(life, print, crash.requests[&print], crash.at);
         }
-        part
+        evidence
     }
 
-    /// Whether an end has lapsed.
+    /// Whether a crash is past its retention.
     pub fn has_expired(&self, now: Time) -> bool {
         self.crashes
             .values()
-            .any(|end| now.since(end.at) >= LAPSES_MS)
+            .any(|crash| now.since(crash.at) >= RETENTION_MS)
     }
 
-    /// Forgets ends that lapsed, and those beyond what is kept.
+    /// Evicts crashes past their retention, and those beyond the maximum.
     pub fn evict(&mut self, rule: QuarantineRule, now: Time) {
-        self.crashes.retain(|_, end| now.since(end.at) < LAPSES_MS);
-        if self.crashes.len() <= KEPT {
+        self.crashes
+            .retain(|_, crash| now.since(crash.at) < RETENTION_MS);
+        if self.crashes.len() <= MAX_CRASHES {
             return;
         }
-        let guilty = self.quarantined(rule);
-        let condemns = |end: &Crash| end.requests.keys().any(|print| guilty.contains_key(print));
-        let order = |(life, end): (&Life, &Crash)| (condemns(end), end.at, *life);
-        let mut ends: Vec<(bool, Time, Life)> = self.crashes.iter().map(order).collect();
-        ends.sort_unstable();
-        for (_, _, life) in &ends[..ends.len() - KEPT] {
+        let quarantined = self.quarantined(rule);
+        let is_evidence = |crash: &Crash| {
+            crash
+                .requests
+                .keys()
+                .any(|print| quarantined.contains_key(print))
+        };
+        let order = |(life, crash): (&Life, &Crash)| (is_evidence(crash), crash.at, *life);
+        let mut crashes: Vec<(bool, Time, Life)> = self.crashes.iter().map(order).collect();
+        crashes.sort_unstable();
+        for (_, _, life) in &crashes[..crashes.len() - MAX_CRASHES] {
             self.crashes.remove(life);
         }
     }
 
-    /// The guilty requests, each with the ends that it is guilty by.
+    /// The quarantined requests, each with the crashes that count against it.
     pub fn quarantined(&self, rule: QuarantineRule) -> BTreeMap<Print, BTreeSet<Life>> {
         match rule {
-            QuarantineRule::Explained => self.unexplained(),
-            QuarantineRule::Lives => self.often(),
+            QuarantineRule::Explained => self.by_unexplained_crashes(),
+            QuarantineRule::Lives => self.by_crash_count(),
             QuarantineRule::Off => BTreeMap::new(),
         }
     }
 
-    /// Who is guilty by ends in the order in which they came. The end of a request that is guilty by then, or becomes so, counts for
-    /// no other.
-    fn unexplained(&self) -> BTreeMap<Print, BTreeSet<Life>> {
-        let mut trial = Trial::default();
-        let mut ends: Vec<(Life, &Crash)> = self.crashes().collect();
-        ends.sort_unstable_by_key(|(life, end)| (end.at, *life));
-        for (life, end) in ends {
-            trial.hear(life, end);
+    /// Evaluates crashes in chronological order. A crash that involves a request that is
+    /// quarantined by then, or becomes so by it, counts against no other request.
+    fn by_unexplained_crashes(&self) -> BTreeMap<Print, BTreeSet<Life>> {
+        let mut evaluation = Evaluation::default();
+        let mut crashes: Vec<(Life, &Crash)> = self.crashes().collect();
+        crashes.sort_unstable_by_key(|(life, crash)| (crash.at, *life));
+        for (life, crash) in crashes {
+            evaluation.observe(life, crash);
         }
-        trial.guilty
+        evaluation.quarantined
     }
 
-    /// Who is guilty by the number of ends alone.
-    fn often(&self) -> BTreeMap<Print, BTreeSet<Life>> {
+    /// Evaluates only the number of crashes of each request.
+    fn by_crash_count(&self) -> BTreeMap<Print, BTreeSet<Life>> {
         let mut lives: BTreeMap<Print, BTreeSet<Life>> = BTreeMap::new();
-        for (life, end) in &self.crashes {
-            for (print, _) in end.suspects() {
+        for (life, crash) in &self.crashes {
+            for (print, _) in crash.suspects() {
                 lives.entry(print).or_default().insert(*life);
             }
         }
@@ -209,78 +223,91 @@
 }
 
 impl Crash {
-    /// The requests that were there, without those that were cleared of it.
+    /// The requests that were present, without those that were cleared.
     fn suspects(&self) -> impl Iterator<Item = (Print, Involvement)> {
-        let there = self.requests.iter().map(|(print, part)| (*print, *part));
-        there.filter(|(_, part)| *part != Involvement::Cleared)
+        let requests = self
+            .requests
+            .iter()
+            .map(|(print, involvement)| (*print, *involvement));
+        requests.filter(|(_, involvement)| *involvement != Involvement::Cleared)
     }
 }
 
-/// A request that is not guilty so far.
+/// A request that is not quarantined so far.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// How many of its ends came soon behind the begin of its answer, as those do that a request causes.
+    /// All crashes at which the request was present.
+    crashes: BTreeSet<Life>,
+    /// Crashes soon after the response began, as a poison request causes them.
     fresh: usize,
-    /// All ends that it was at.
-    lives: BTreeSet<Life>,
-    /// Those that nobody who is guilty explains.
-    own: BTreeSet<Life>,
+    /// Crashes that no quarantined request explains.
+    unexplained: BTreeSet<Life>,
 }
 
-/// Ends heard one after the other.
+/// State of evaluating crashes in order.
 #[derive(Clone, Debug, Default)]
-struct Trial {
-    guilty: BTreeMap<Print, BTreeSet<Life>>,
+struct Evaluation {
+    quarantined: BTreeMap<Print, BTreeSet<Life>>,
     suspects: BTreeMap<Print, Suspect>,
 }
 
-impl Trial {
-    fn hear(&mut self, life: Life, end: &Crash) {
-        let is_guilty = |(print, _): (Print, Involvement)| self.guilty.contains_key(&print);
-        let explained = end.suspects().any(is_guilty);
-        for (print, part) in end.suspects() {
-            if let Some(lives) = self.guilty.get_mut(&print) {
+impl Evaluation {
+    fn observe(&mut self, life: Life, crash: &Crash) {
+        let is_quarantined =
+            |(print, _): (Print, Involvement)| self.quarantined.contains_key(&print);
+        let explained = crash.suspects().any(is_quarantined);
+        for (print, involvement) in crash.suspects() {
+            if let Some(lives) = self.quarantined.get_mut(&print) {
                 lives.insert(life);
                 continue;
             }
             let suspect = self.suspects.entry(print).or_default();
-            suspect.fresh += usize::from(part == Involvement::Fresh);
-            suspect.lives.insert(life);
+            suspect.fresh += usize::from(involvement == Involvement::Fresh);
+            suspect.crashes.insert(life);
             if !explained {
-                suspect.own.insert(life);
+                suspect.unexplained.insert(life);
             }
         }
-        while let Some((print, suspect)) = self.worst() {
-            self.convict(print, &suspect);
+        while let Some((print, suspect)) = self.strongest_suspect() {
+            self.quarantine(print, &suspect);
         }
     }
 
-    /// One that was at enough ends; of several the one that nobody explains the most of, and that had run the least.
-    fn worst(&self) -> Option<(Print, Suspect)> {
-        let often = |suspect: &Suspect| {
-            suspect.own.len() >= QUARANTINE_THRESHOLD || suspect.lives.len() >= GUILTY_ANYWAY
+    /// The suspect with enough crashes; of several, the one with the most unexplained crashes, then
+    /// the one that had run least.
+    fn strongest_suspect(&self) -> Option<(Print, Suspect)> {
+        let over_threshold = |suspect: &Suspect| {
+            suspect.unexplained.len() >= QUARANTINE_THRESHOLD
+                || suspect.crashes.len() >= TOTAL_CRASH_THRESHOLD
         };
-        let often = self.suspects.iter().filter(|(_, suspect)| often(suspect));
-        let worst = often.max_by_key(|(_, suspect)| (suspect.own.len(), suspect.fresh));
-        worst.map(|(print, suspect)| (*print, suspect.clone()))
+        let over_threshold = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| over_threshold(suspect));
+        let strongest =
+            over_threshold.max_by_key(|(_, suspect)| (suspect.unexplained.len(), suspect.fresh));
+        strongest.map(|(print, suspect)| (*print, suspect.clone()))
     }
 
-    /// Convicts a request, and those that were at the same ends and can not be told from it.
-    fn convict(&mut self, print: Print, worst: &Suspect) {
-        let alike = |other: &Print, suspect: &mut Suspect| {
-            let same = suspect.own == worst.own && suspect.fresh == worst.fresh;
-            *other == print || (same && worst.own.len() >= QUARANTINE_THRESHOLD)
+    /// Quarantines a request, and those that cannot be distinguished from it by their crashes.
+    fn quarantine(&mut self, print: Print, suspect: &Suspect) {
+        let is_indistinguishable = |other: &Print, other_suspect: &mut Suspect| {
+            let same = other_suspect.unexplained == suspect.unexplained
+                && other_suspect.fresh == suspect.fresh;
+            *other == print || (same && suspect.unexplained.len() >= QUARANTINE_THRESHOLD)
         };
-        let alike = self.suspects.extract_if(.., alike);
-        self.guilty
-            .extend(alike.map(|(print, suspect)| (print, suspect.lives)));
-        for suspect in self.suspects.values_mut() {
-            suspect.own.retain(|life| !worst.own.contains(life));
+        let alike = self.suspects.extract_if(.., is_indistinguishable);
+        self.quarantined
+            .extend(alike.map(|(print, suspect)| (print, suspect.crashes)));
+        for other in self.suspects.values_mut() {
+            other
+                .unexplained
+                .retain(|life| !suspect.unexplained.contains(life));
         }
     }
 }
 
-/// Spreads a number over all bits.
+/// Mixes the bits of a number.
 fn mix(number: u64) -> u64 {
     let number = (number ^ (number >> 31)).wrapping_mul(0x7fb5_d329_728e_a185);
     let number = (number ^ (number >> 27)).wrapping_mul(0x81da_def4_bc2d_d44d);
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,52 +1,53 @@
-//! NextRequest work: by priority, and within a priority shared fairly between customers by weight.
+//! Queue of waiting requests: ordered by priority, and within a priority shared between customers
+//! by weight.
 
 use super::*;
 
-/// Cost unit of one request at weight 1 in virtual time.
-const UNIT: u64 = 1 << 20;
+/// Cost of one request at weight 1, in virtual time.
+const COST_UNIT: u64 = 1 << 20;
 
-/// One request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 struct Entry {
     finish: u64,
     request: request::Key,
 }
 
-/// Requests of one priority; start-time fair queueing over customers.
+/// Requests of one priority, in start-time fair queueing over customers.
 #[derive(Clone, Debug, Default)]
 struct Class {
+    /// Start of the current backlog; `None` while no request waits.
+    backlog_since: Option<Time>,
     customers: BTreeMap<String, VecDeque<Entry>>,
     finishes: HashMap<String, u64>,
     length: usize,
-    /// When requests of this class were last sent, oldest first.
+    /// Times at which requests of this class were sent, oldest first.
     sent: VecDeque<Time>,
     virtual_time: u64,
-    /// Since when some request has waited without a break.
-    waiting_since: Option<Time>,
 }
 
-/// Sendings that the rate of a class is taken from, at most.
-const SENDINGS: usize = 1_024;
+/// Maximum number of sends from which the service rate of a class is measured.
+const MAX_SENDS: usize = 1_024;
 
-/// Sendings that a class without any is believed to have had.
-const SENDINGS_LEAST: f64 = 0.5;
+/// Number of sends assumed for a class without any.
+const MIN_SENDS: f64 = 0.5;
 
-/// Time that a class must have had waiting work for its rate to say something, in milliseconds.
-const BACKLOG_MS: u64 = 1_000;
+/// Minimum age of a backlog in milliseconds for the service rate to be meaningful.
+const MIN_BACKLOG_MS: u64 = 1_000;
 
-/// Time after which a sending no longer counts for the rate, in milliseconds.
-const SENDING_AGE_MS: u64 = 5_000;
+/// Window in milliseconds over which the service rate is measured.
+const RATE_WINDOW_MS: u64 = 5_000;
 
 /// The request to send next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NextRequest {
+    /// Whether it had been sent before and resumes.
+    pub is_resume: bool,
     /// The request.
     pub request: request::Key,
-    /// Whether it had been sent before.
-    pub is_resume: bool,
 }
 
-/// What a customer has of a pool at this instance.
+/// Requests of a customer in a pool at this instance.
 #[derive(Clone, Copy, Debug, Default)]
 struct Share {
     running: u32,
@@ -62,55 +63,55 @@
     shares: HashMap<String, Share>,
 }
 
-/// Part of its fair share that a customer may have more before others' work of any priority goes
-/// before its own.
+/// Multiple of its fair share of running requests from which a customer yields to others' requests
+/// of any priority.
 const SHARE_MARGIN: f64 = 2.0;
 
 impl Class {
-    /// Name of the customer whose turn it is, among those that `may` be served.
-    fn next(&self, may: impl Fn(&str) -> bool) -> Option<&str> {
+    /// Name of the customer to serve next, among those for which `is_eligible` holds.
+    fn next(&self, is_eligible: impl Fn(&str) -> bool) -> Option<&str> {
         self.customers
             .iter()
-            .filter(|(name, _)| may(name))
+            .filter(|(name, _)| is_eligible(name))
             .filter_map(|(name, entries)| Some((entries.front()?.finish, name.as_str())))
             .min()
             .map(|(_, name)| name)
     }
 
-    /// The request that a customer is served next.
+    /// The next request of a customer.
     fn front(&self, customer: &str) -> Option<request::Key> {
         let entries = self.customers.get(customer)?;
         entries.front().map(|entry| entry.request)
     }
 
-    /// Requests that would be sent before a new one of a customer.
+    /// Number of requests that would be sent before a new one of a customer.
     fn ahead(&self, customer: &config::Customer) -> usize {
         let finish = self.finish(customer);
         let waiting = self.customers.values().flatten();
         waiting.filter(|entry| entry.finish <= finish).count()
     }
 
-    /// Virtual time at which a new request of a customer would end.
+    /// Virtual finish time of a new request of a customer.
     fn finish(&self, customer: &config::Customer) -> u64 {
         let last = self.finishes.get(&customer.name).copied().unwrap_or(0);
-        last.max(self.virtual_time) + UNIT / u64::from(customer.weight.max(1))
+        last.max(self.virtual_time) + COST_UNIT / u64::from(customer.weight.max(1))
     }
 
-    /// Requests sent a second lately, while some waited; `None` if none has waited for long.
-    fn rate(&self, now: Time) -> Option<f64> {
-        let waited = now.since(self.waiting_since?);
-        if waited < BACKLOG_MS {
+    /// Recent service rate in requests per second; `None` if the backlog is too recent.
+    fn service_rate(&self, now: Time) -> Option<f64> {
+        let waited = now.since(self.backlog_since?);
+        if waited < MIN_BACKLOG_MS {
             return None;
         }
-        let window = waited.min(SENDING_AGE_MS);
+        let window = waited.min(RATE_WINDOW_MS);
         let recent = self.sent.iter().filter(|sent| now.since(**sent) < window);
-        let count = (recent.count() as f64).max(SENDINGS_LEAST);
+        let count = (recent.count() as f64).max(MIN_SENDS);
         Some(count / window as f64 * 1_000.0)
     }
 
     fn pop(&mut self, customer: &str, now: Time) -> Option<request::Key> {
         self.sent.push_back(now);
-        if self.sent.len() > SENDINGS {
+        if self.sent.len() > MAX_SENDS {
             self.sent.pop_front();
         }
         let entries = self.customers.get_mut(customer)?;
@@ -123,13 +124,13 @@
         if self.length == 0 {
             self.finishes.clear();
             self.virtual_time = 0;
-            self.waiting_since = None;
+            self.backlog_since = None;
         }
         Some(entry.request)
     }
 
     fn push(&mut self, customer: &config::Customer, request: request::Key, now: Time) {
-        self.waiting_since.get_or_insert(now);
+        self.backlog_since.get_or_insert(now);
         let finish = self.finish(customer);
         self.finishes.insert(customer.name.clone(), finish);
         self.customers
@@ -151,14 +152,14 @@
             self.customers.remove(customer);
         }
         if self.length == 0 {
-            self.waiting_since = None;
+            self.backlog_since = None;
         }
         removed > 0
     }
 }
 
 impl Queue {
-    /// Count of requests that wait and would be sent before new work of `priority`.
+    /// Number of waiting requests that would be sent before new work of `priority`.
     pub fn ahead_of(&self, priority: Priority) -> usize {
         self.resumes.len()
             + self
@@ -168,12 +169,12 @@
                 .sum::<usize>()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Count of requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.ahead_of(Priority::Background)
     }
@@ -193,7 +194,7 @@
         })
     }
 
-    /// Takes the request to send next.
+    /// Removes and returns the request to send next.
     pub fn pop(&mut self, now: Time) -> Option<request::Key> {
         if let Some(request) = self.resumes.pop_front() {
             return Some(request);
@@ -207,42 +208,42 @@
         Some(request)
     }
 
-    /// A request that was taken by `pop` as new work has ended.
+    /// Records the end of a request that was taken by `pop` as new work.
     pub fn finish(&mut self, customer: &config::Customer) {
         if let Some(share) = self.shares.get_mut(&customer.name) {
             share.running -= 1;
         }
-        self.forget(&customer.name);
+        self.remove_if_idle(&customer.name);
     }
 
-    /// Priority and customer to serve next: the first priority in which some customer has not had
-    /// its fair share; if all have, the first priority.
+    /// Priority and customer to serve next: the highest priority in which some customer is below
+    /// its fair share, or the highest priority if none is.
     fn select(&self) -> Option<(Priority, &str)> {
         let running: u32 = self.shares.values().map(|share| share.running).sum();
         let weight: u32 = self.shares.values().map(|share| share.weight).sum();
         let per_weight = f64::from(running + 1) / f64::from(weight.max(1));
-        let short = |customer: &str| {
+        let is_below_share = |customer: &str| {
             self.shares.get(customer).is_none_or(|share| {
                 let fair = per_weight * f64::from(share.weight) * SHARE_MARGIN;
                 f64::from(share.running) < fair
             })
         };
-        let next = |may: &dyn Fn(&str) -> bool| {
+        let next = |is_eligible: &dyn Fn(&str) -> bool| {
             let mut classes = self.classes.iter();
-            classes.find_map(|(priority, class)| Some((*priority, class.next(may)?)))
+            classes.find_map(|(priority, class)| Some((*priority, class.next(is_eligible)?)))
         };
-        next(&short).or_else(|| next(&|_| true))
+        next(&is_below_share).or_else(|| next(&|_| true))
     }
 
-    fn forget(&mut self, customer: &str) {
-        let over = |share: &Share| share.running == 0 && share.waiting == 0;
-        if self.shares.get(customer).is_some_and(over) {
+    fn remove_if_idle(&mut self, customer: &str) {
+        let is_idle = |share: &Share| share.running == 0 && share.waiting == 0;
+        if self.shares.get(customer).is_some_and(is_idle) {
             self.shares.remove(customer);
         }
     }
 
-    /// Time in milliseconds until a new request of a customer would be sent, by the rate at which
-    /// its priority was served lately; `None` if too little was served to say.
+    /// Expected time in milliseconds until a new request of a customer is sent, by the recent
+    /// service rate of its priority; `None` if there is too little data.
     pub fn expected_wait(
         &self,
         priority: Priority,
@@ -251,10 +252,10 @@
     ) -> Option<u64> {
         let class = self.classes.get(&priority)?;
         let ahead = class.ahead(customer) + self.resumes.len() + 1;
-        Some((ahead as f64 / class.rate(now)? * 1_000.0) as u64)
+        Some((ahead as f64 / class.service_rate(now)? * 1_000.0) as u64)
     }
 
-    /// Adds new work.
+    /// Enqueues new work.
     pub fn push(
         &mut self,
         priority: Priority,
@@ -271,7 +272,7 @@
             .push(customer, request, now);
     }
 
-    /// Takes out a request that no longer waits.
+    /// Removes a request that no longer waits.
     pub fn remove(
         &mut self,
         priority: Priority,
@@ -285,10 +286,10 @@
         {
             share.waiting -= 1;
         }
-        self.forget(&customer.name);
+        self.remove_if_idle(&customer.name);
     }
 
-    /// Adds work that had been sent before; it goes before all new work.
+    /// Enqueues work that had been sent before; it goes before all new work.
     pub fn push_resume(&mut self, request: request::Key) {
         self.resumes.push_back(request);
     }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,27 +1,29 @@
-//! Bounds and rates of the decisions; all times in milliseconds.
+//! Settings of the core: limits, rates and policies. All times are in milliseconds.
 
 use super::*;
 
-/// How an upstream is chosen. The ways that know no room send to any live upstream and leave the
-/// waiting to it; they are the baselines of the measurements.
+/// How an upstream is chosen. Policies that are not capacity-aware send to any live upstream and
+/// leave queueing to it; they are baselines for measurements.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Routing {
-    /// At random with the weight of the believed room, as the `RouteGrail` paper has it.
+    /// At random, weighted by estimated free capacity, as in the `RouteGrail` paper.
     Headroom,
-    /// The least load in the last report, without regard to room.
+    /// The least load in the last report, without regard to capacity.
     LeastReported,
-    /// One of the few that the prompt's start ranks first, if it has room to spare; else two choices.
+    /// One of the few that rank first for the prompt's prefix, if it has capacity to spare;
+    /// otherwise two choices.
     Prefix,
-    /// At random, without regard to room.
+    /// At random, without regard to capacity.
     Random,
-    /// One after the other, without regard to room.
+    /// Round robin, without regard to capacity.
     RoundRobin,
-    /// Of two taken at random among those with room, the one believed to have less work.
+    /// Power of two choices: of two random upstreams with capacity, the one estimated to have less
+    /// work.
     TwoChoices,
 }
 
 impl Routing {
-    /// Every way, with its name in settings.
+    /// Every value, with its name in settings.
     pub const ALL: [(&'static str, Self); 6] = [
         ("headroom", Self::Headroom),
         ("least_reported", Self::LeastReported),
@@ -31,27 +33,28 @@
         ("two_choices", Self::TwoChoices),
     ];
 
-    /// Whether work waits at the instance until an upstream is believed to have room.
+    /// Whether work queues at the instance until an upstream is estimated to have capacity.
     pub fn is_capacity_aware(self) -> bool {
         matches!(self, Self::Headroom | Self::Prefix | Self::TwoChoices)
     }
 }
 
-/// By which rule a request is found to end the upstreams that run it.
+/// The rule by which poison requests, which crash their upstreams, are detected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineRule {
-    /// By three ends that no other guilty request explains, or by five. Refuses half as many requests that were beside such
-    /// ones, 53 in place of 104 of 17,847 in virtual time with five of them a fleet; but two of 600 that end upstreams together
-    /// hid behind each other for longer than the users allow.
+    /// By three crashes that no other quarantined request explains, or by five. It refuses half as
+    /// many requests that were beside poison requests: 53 instead of 104 of 17,847 in virtual time
+    /// with five poison requests per fleet; but two of 600 that crash upstreams together masked
+    /// each other for longer than the users allow.
     Explained,
-    /// By three ends. None of 3,120 such requests was sent more often than the users allow.
+    /// By three crashes. None of 3,120 poison requests was sent more often than the users allow.
     Lives,
-    /// Not at all.
+    /// Detection is off.
     Off,
 }
 
 impl QuarantineRule {
-    /// Every rule, with its name in settings.
+    /// Every value, with its name in settings.
     pub const ALL: [(&'static str, Self); 3] = [
         ("explained", Self::Explained),
         ("lives", Self::Lives),
@@ -59,24 +62,25 @@
     ];
 }
 
-/// Instances that have a part of a limit, for each request a second. The more there are, the likelier one of them has something to
-/// send; each may send one request at once, and all of them together no more than half of what the limit allows.
+/// Number of instances that hold a share of a rate limit, per request per second. The more there
+/// are, the likelier one of them has something to send; each may send one request at once, and all
+/// of them together no more than half of what the limit allows.
 const HOLDERS_PER_REQUEST: f64 = 1.5;
 
-/// Which instances have a part of the limit that an upstream names.
+/// Which instances hold a share of the rate limit that an upstream names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitHolders {
-    /// All of them; only shows what few are worth.
+    /// All instances; only a baseline for measuring the benefit of `Few`.
     All,
-    /// Some for each request a second.
+    /// A number in proportion to the requests per second.
     Few,
 }
 
 impl LimitHolders {
-    /// Every way, with its name in settings.
+    /// Every value, with its name in settings.
     pub const ALL: [(&'static str, Self); 2] = [("all", Self::All), ("few", Self::Few)];
 
-    /// How many instances have a part of a limit.
+    /// Number of instances that hold a share of a rate limit.
     pub(crate) fn holders(self, rate: limit::Rate, instances: u32) -> usize {
         let instances = instances as usize;
         match self {
@@ -89,19 +93,20 @@
     }
 }
 
-/// How a relayed stream goes on whose upstream was lost; all but the first only show what it is worth.
+/// How a relayed stream resumes after its upstream was lost; all but the first only serve to
+/// measure its benefit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ResumeMode {
-    /// From a copy of its memory at another upstream, else by reading the prompt anew.
+    /// From a copy of its memory at another upstream, otherwise by repeating the prefill.
     Copy,
-    /// By reading the prompt anew at another upstream.
+    /// By repeating the prefill at another upstream.
     Anew,
-    /// Not at all: it is cut, and its caller comes back.
+    /// Not at all: the stream is closed, and its caller retries.
     None,
 }
 
 impl ResumeMode {
-    /// Every way, with its name in settings.
+    /// Every value, with its name in settings.
     pub const ALL: [(&'static str, Self); 3] = [
         ("copy", Self::Copy),
         ("anew", Self::Anew),
@@ -109,29 +114,34 @@
     ];
 }
 
-/// What it costs to choose an upstream for a relayed request, in a unit of its own; 0 for not weighed.
+/// Weights of the placement cost of a relayed request at an upstream, in an arbitrary unit; 0
+/// ignores the criterion.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementWeights {
-    /// Another data centre, for the bytes between them.
+    /// An upstream in another data centre, for the traffic between them.
     pub far: f64,
-    /// The upstream's whole memory in use.
+    /// A full memory; a partly filled one costs that fraction.
     pub memory: f64,
-    /// An upstream that was not heard since all others of its data centre were lost; a part of them costs
-    /// that part. Racks and data centres fail together, and each try costs time.
+    /// An upstream without a sign of life since all others of its data centre were lost; if a
+    /// fraction of them was lost, it costs that fraction. Racks and data centres fail together, and
+    /// each attempt costs time.
     pub outage: f64,
-    /// A prompt that is being read: it holds up every stream of its upstream.
+    /// Each prompt in prefill: it holds up every stream of its upstream.
     pub reading: f64,
-    /// One request that runs there, which a new prompt holds up. With 0.5, and 4 for the memory, copies
-    /// weighed as much as streams: worth 0.704 against 0.715 over 40 pairs.
+    /// Each running request, which the prefill of a new prompt holds up. With 0.5, and 4 for the
+    /// memory, copies weighed as much as streams: the value of served requests was 0.704 against
+    /// 0.715 over 40 pairs.
     pub running: f64,
-    /// Upstreams of a pool that a request is placed by, for each upstream that there is for an instance; 0 for
-    /// all of them.
+    /// Number of upstreams sampled for each placement, as a multiple of the pool's upstreams per
+    /// instance; 0 considers all.
     pub sample: f64,
-    /// Width of the random part, so that instances which know the same do not all choose the same.
+    /// Width of the random term, so that instances with the same information do not all choose the
+    /// same upstream.
     pub spread: f64,
-    /// A request that was at upstreams when they ended, beside which another one would be in its next end.
+    /// A request involved in earlier crashes, beside which another one would be involved in its
+    /// next crash.
     pub suspect: f64,
-    /// One failure of late.
+    /// Each recent failure.
     pub trouble: f64,
 }
 
@@ -151,32 +161,36 @@
     }
 }
 
-/// Bounds on what engines are given, and who waits for room. A part of an upstream's memory is reckoned by
-/// the tokens of prompts and longest answers; 0 always means that there is no bound.
+/// Limits on the load of engines, and on who waits for capacity. Memory use is computed from the
+/// tokens of prompts and longest possible responses; 0 always means unbounded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityLimits {
-    /// Part of the memory of all upstreams of a pool up to which they are given copies of each other's
-    /// streams. With 0.5 fewer lost streams have one, with 0.75 the first streams of a burst find no room.
+    /// Fraction of the memory of all upstreams of a pool up to which they are given copies of each
+    /// other's streams. With 0.5 fewer lost streams have a copy; with 0.75 the first streams of a
+    /// burst find no capacity.
     pub copy_fill: f64,
-    /// Part of a caller's patience for which its request waits for what an instance does not know yet after
-    /// its start.
+    /// Fraction of a caller's timeout for which its request waits for state that an instance has
+    /// not learned yet after its start.
     pub early: f64,
-    /// Part of an upstream's memory up to which it is given new streams. Most answers are shorter than the
-    /// longest, so with 1 engines still have to stop none; with 0.8 they served a twentieth less.
+    /// Fraction of an upstream's memory up to which it is given new streams. Most responses are
+    /// shorter than the maximum, so with 1 engines still have to preempt none; with 0.8 they served
+    /// a twentieth less.
     pub fill: f64,
-    /// A stream is refused at once if its answer is expected to take so many times the time left. Estimates
-    /// are means: of those that 1.25 refuses none was served in time when tried.
+    /// A stream is refused at once if its response is expected to take this multiple of the time
+    /// left. Estimates are means: of the streams that 1.25 refuses, none was served in time when
+    /// tried.
     pub hopeless: f64,
-    /// Part of an upstream's memory up to which it is given streams that can no longer begin in the time
-    /// wanted: they take what others leave.
+    /// Fraction of an upstream's memory up to which it is given streams that can no longer start in
+    /// time: they take what others leave.
     pub late_fill: f64,
-    /// Prompts that an upstream reads at once: one, and another so that it is not idle between them.
+    /// Number of concurrent prefills of an upstream: one, and another so that it is not idle
+    /// between them.
     pub reading: u32,
     /// Whether streams that would wait too long are refused at once.
     pub refuse: bool,
-    /// Whether streams with long prompts may wait as long as those with prompts of the mean length.
+    /// Whether streams with long prompts may wait as long as those with prompts of mean length.
     pub sizes: bool,
-    /// Whether streams that wait at several instances are sent in the order in which they came.
+    /// Whether streams that wait at several instances are sent in the order of their arrival.
     pub turns: bool,
 }
 
@@ -196,16 +210,15 @@
     }
 }
 
-/// What all instances keep together: budgets of second sendings and of continuations on suspicion, and what they
-/// learn of engines.
+/// State that all instances share: retry and hedging budgets, and estimates of engine speed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedSettings {
-    /// Permits that an instance's part is at least, and that it may owe; 0 for neither: where the part is less
-    /// than one permit, nothing is then ever sent again.
+    /// Minimum number of permits in an instance's share, and number that it may overdraw; 0 for
+    /// neither: an instance with a share of less than one permit then never retries.
     pub least: f64,
-    /// Whether instances tell each other how fast engines read prompts while streams find no room.
+    /// Whether instances send each other the prefill speed of engines during a shortage.
     pub paces: bool,
-    /// Whether what no upstream took in is sent again without a permit.
+    /// Whether requests that no upstream accepted are sent again without a permit.
     pub unsent: bool,
 }
 
@@ -219,16 +232,17 @@
     }
 }
 
-/// Bounds on calls of plain services.
+/// Limits on calls of plain services.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallLimits {
-    /// Whether those beyond what the slots serve are refused, by what all instances are asked.
+    /// Whether calls beyond the capacity of the slots are refused, by the demand of all instances.
     pub demand: bool,
-    /// Whether calls that upstreams failed are sent on while their service is nearly full.
+    /// Whether failed calls are sent again while their service is nearly full.
     pub second: bool,
-    /// Part of the time in which answers are wanted that calls are under way while others are refused; 0 for a fixed number a slot.
+    /// Target time in flight of calls while others are refused, as a fraction of the latency
+    /// objective; 0 for a fixed number per slot.
     pub wait: f64,
-    /// Whether those under way at once are bounded by how they are answered.
+    /// Whether the number of concurrent calls adapts to their outcomes.
     pub window: bool,
 }
 
@@ -244,7 +258,7 @@
 }
 
 impl CapacityLimits {
-    /// Without any bound: upstreams are given whatever comes, as a baseline.
+    /// No limits: upstreams are given whatever arrives, as a baseline.
     pub fn unbounded() -> Self {
         Self {
             copy_fill: 0.0,
@@ -260,82 +274,87 @@
     }
 }
 
-/// Settings of the core, the same for the life of an instance.
+/// Settings of the core, constant for the lifetime of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Greatest number of attempts of one request.
+    /// Maximum number of attempts per request.
     pub attempts_max: u32,
-    /// Bounds on calls of plain services.
+    /// Limits on calls of plain services.
     pub calls: CallLimits,
-    /// Time between two tries to claim a continuation.
+    /// Interval between two attempts to claim a continuation.
     pub claim_retry_ms: u64,
-    /// Whether a non-repeatable generation may go on elsewhere from its delivered tokens.
+    /// Whether a non-repeatable generation may continue at another upstream from its delivered
+    /// tokens.
     pub continue_non_repeatable: bool,
-    /// Whether generations go on elsewhere at all; off only to show what it is worth.
+    /// Whether generations continue at another upstream at all; off only to measure the benefit.
     pub continuation: bool,
-    /// Continuations on suspicion that each admitted request earns.
+    /// Hedged continuations that each admitted request adds to the budget.
     pub hedge_earn: f64,
-    /// Tokens and body bytes held for running requests, together, at most.
+    /// Maximum size of the tokens and bodies held for all running requests, in bytes.
     pub held_bytes_max: u64,
-    /// Age of an idempotency key beyond which it is refused.
+    /// Maximum age of an idempotency key; older ones are refused.
     pub key_age_max_ms: u64,
-    /// Lead of an idempotency key's clock beyond which it is refused.
+    /// Maximum lead of an idempotency key's clock; keys further in the future are refused.
     pub key_lead_max_ms: u64,
-    /// How long a word that an upstream leaves counts against the platform's list.
+    /// Time for which the report that an upstream is leaving overrides the platform's list.
     pub leaving_hint_ms: u64,
-    /// Which instances have a part of the limit that an upstream names.
+    /// Which instances hold a share of the rate limit that an upstream names.
     pub limits: LimitHolders,
-    /// How long an engine keeps a stream without a reader.
+    /// Time for which an engine keeps a stream without a reader.
     pub linger_ms: u64,
-    /// Time between load reports of an upstream that is believed to live.
+    /// Interval of load reports of an upstream that is considered live.
     pub load_ms: u64,
-    /// Gap between ticks after which the instance knows that it was paused.
+    /// Gap between ticks from which the instance detects that it was paused.
     pub pause_ms: u64,
-    /// Time between probes of an upstream that is suspected, lost, or owes a first token.
+    /// Interval between probes of an upstream that is suspected, lost, or has not sent the first
+    /// token that is due.
     pub probe_ms: u64,
-    /// Time after which a probe without answer has failed.
+    /// Timeout of a probe.
     pub probe_timeout_ms: u64,
-    /// By which rule requests are found, and refused, that end the upstreams that run them.
+    /// The rule by which poison requests are detected and refused.
     pub quarantine: QuarantineRule,
-    /// Requests waiting for an upstream, at most.
+    /// Maximum number of requests that wait for an upstream.
     pub queue_max: usize,
     /// How an upstream is chosen.
     pub routing: Routing,
-    /// Age that the content of a load report has when it arrives.
+    /// Age of the content of a load report on arrival.
     pub report_lag_ms: u64,
-    /// What is weighed when an upstream is chosen for a relayed request.
+    /// Weights for choosing an upstream for a relayed request.
     pub place: PlacementWeights,
-    /// Whether upstreams are probed; without probes a doubted one is tried again after `probe_ms`.
+    /// Whether upstreams are probed; without probes a suspected one is tried again after
+    /// `probe_ms`.
     pub probes: bool,
     /// Silence after which a repeatable relayed call is sent to another upstream.
     pub relay_call_ms: u64,
-    /// Silence before the first event after which a stream that goes on from a copy has none.
+    /// Silence before the first event after which a stream that resumes from a copy is considered
+    /// to have none.
     pub relay_copy_ms: u64,
-    /// The time in which the first event is wanted, times this, is waited for it before a stream goes
-    /// elsewhere. Less (0.65) reads prompts twice where engines are only slow: on the grown sites' quiet
-    /// days 0.808 and 0.653 of the worth against 0.833 and 0.669.
+    /// Multiple of the objective for the first event after which a stream is sent to another
+    /// upstream. A lower value (0.65) repeats prefills where engines are only slow: on quiet days
+    /// of the larger sites, the value of served requests was 0.808 and 0.653 against 0.833 and
+    /// 0.669.
     pub relay_first: f64,
-    /// How a relayed stream goes on whose upstream was lost.
+    /// How a relayed stream resumes after its upstream was lost.
     pub relay_resume: ResumeMode,
-    /// Silence between two events after which a relayed stream goes on elsewhere.
+    /// Silence between two events after which a relayed stream resumes at another upstream.
     pub relay_stall_ms: u64,
-    /// Share of an upstream's slots that only resumed work may use.
+    /// Fraction of an upstream's slots reserved for resumed work.
     pub resume_reserve: f64,
-    /// Room of engines for relayed streams.
+    /// Limits on the load of engines with relayed streams.
     pub room: CapacityLimits,
-    /// Permits for a retry that each admitted request earns.
+    /// Retry permits that each admitted request adds to the budget.
     pub retry_earn: f64,
-    /// What all instances keep together.
+    /// State that all instances share.
     pub shared: SharedSettings,
-    /// Silence after which a stream under the policy `resources` is lost.
+    /// Silence after which a stream under the policy `resources` counts as lost.
     pub stall_loss_ms: u64,
-    /// Upper limit of the adaptive stall bound.
+    /// Maximum of the adaptive stall timeout.
     pub stall_max_ms: u64,
-    /// Lower limit of the adaptive stall bound.
+    /// Minimum of the adaptive stall timeout.
     pub stall_min_ms: u64,
-    /// Upstreams of each pool that this instance works with; 0 for all.
+    /// Number of upstreams of each pool that this instance uses; 0 for all.
     pub subset: usize,
-    /// Tokens of one answer, at most.
+    /// Maximum number of tokens in one response.
     pub tokens_max: u32,
 }
 
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -1,75 +1,76 @@
-//! How many calls of a plain service an instance has under way at once: more while answers come well, fewer
-//! when upstreams refuse, break connections, or tell that many wait.
+//! Concurrency window for calls of plain services: grows while upstreams answer, and shrinks when
+//! they refuse, break connections or report a long queue.
 
 use super::*;
 
-/// Calls at once before anything is known.
-const START: f64 = 16.0;
+/// Initial number of concurrent calls.
+const INITIAL_SIZE: f64 = 16.0;
 
-/// Calls at once, at least.
-const LEAST: f64 = 1.0;
+/// Minimum number of concurrent calls.
+const MIN_SIZE: f64 = 1.0;
 
-/// Calls at once that an instance may always come to, however many others there are.
-const LEAST_MOST: f64 = 2.0;
+/// Minimum number of concurrent calls that an instance can reach, however many others there are.
+const MIN_SHARE: f64 = 2.0;
 
-/// Calls of all instances for each slot of an upstream, at most: one that runs, and two that wait so that
-/// no slot is idle.
+/// Maximum number of concurrent calls of all instances per slot: one that runs, and two that wait
+/// so that no slot is idle.
 const CALLS_PER_SLOT: f64 = 3.0;
 
-/// Part that is left after a sign of too much load.
-const CUT: f64 = 0.7;
+/// Factor on the window at a sign of overload.
+const SHRINK_FACTOR: f64 = 0.7;
 
-/// Time between two cuts, in milliseconds: some calls, so that one cut is seen before the next.
-const CUT_MS: u64 = 100;
+/// Minimum time between two reductions in milliseconds: some calls, so that one shows its effect
+/// before the next.
+const SHRINK_INTERVAL_MS: u64 = 100;
 
-/// Calls of one pool at once.
+/// Concurrency window of one pool.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Window {
-    cut_at: Time,
+    shrunk_at: Time,
     size: f64,
 }
 
 impl Default for Window {
     fn default() -> Self {
         Self {
-            cut_at: Time::default(),
-            size: START,
+            shrunk_at: Time::default(),
+            size: INITIAL_SIZE,
         }
     }
 }
 
 impl Window {
-    /// An upstream in such a state answered, while so many calls were under way.
-    pub fn answered(&mut self, load: Load, running: u32, now: Time) {
+    /// Records a response from an upstream with this load while `running` calls were in flight.
+    pub fn record_answer(&mut self, load: Load, running: u32, now: Time) {
         if load.slots > 0 && load.waiting > load.slots {
-            self.cut(now);
+            self.shrink(now);
         } else if f64::from(running) * 2.0 >= self.size {
             self.size += 1.0 / self.size;
         }
     }
 
-    /// An upstream refused a call or broke its connection.
-    pub fn cut(&mut self, now: Time) {
-        if now.since(self.cut_at) >= CUT_MS {
-            self.cut_at = now;
-            self.size = (self.size * CUT).max(LEAST);
+    /// Shrinks the window after an upstream refused a call or broke its connection.
+    pub fn shrink(&mut self, now: Time) {
+        if now.since(self.shrunk_at) >= SHRINK_INTERVAL_MS {
+            self.shrunk_at = now;
+            self.size = (self.size * SHRINK_FACTOR).max(MIN_SIZE);
         }
     }
 
-    /// Calls at once, at most, where upstreams have so many slots together (0 if they do not tell) and so many
-    /// instances share them.
+    /// Maximum number of concurrent calls, for `slots` slots (0 if not reported) shared by
+    /// `instances` instances.
     pub fn size(&self, slots: u32, instances: u32) -> u32 {
         if slots == 0 {
             return self.size as u32;
         }
-        let part = CALLS_PER_SLOT * f64::from(slots) / f64::from(instances.max(1));
-        self.size.min(part.max(LEAST_MOST)) as u32
+        let share = CALLS_PER_SLOT * f64::from(slots) / f64::from(instances.max(1));
+        self.size.min(share.max(MIN_SHARE)) as u32
     }
 }
 
 impl Core {
-    /// Whether another call may be under way in the pool of a request; streams are bounded by the room of
-    /// their engines.
+    /// Whether another call may be sent to a request's pool; streams are bounded by engine capacity
+    /// instead.
     pub(crate) fn may_send_call(&self, request: &Request) -> bool {
         if !self.settings.calls.window || request.service.streams() {
             return true;
@@ -78,10 +79,10 @@
             return true;
         };
         let slots = self.upstreams_of(pool).map(|upstream| upstream.load.slots);
-        self.calls(pool) < pool.window.size(slots.sum(), self.instances)
+        self.calls_in_pool(pool) < pool.window.size(slots.sum(), self.instances)
     }
 
-    /// Notes how a relayed call ended: with an answer, or without one.
+    /// Records whether a relayed call ended with a response.
     pub(crate) fn record_call_result(&mut self, attempt: &Attempt, answered: bool) {
         let request = &self.requests[attempt.request];
         if request.service.streams() {
@@ -94,17 +95,17 @@
         let Some(pool) = self.pools.get(&name) else {
             return;
         };
-        let running = self.calls(pool) + 1;
+        let running = self.calls_in_pool(pool) + 1;
         let window = &mut self.pools.entry(name.clone()).or_default().window;
         if answered {
-            window.answered(load, running, now);
+            window.record_answer(load, running, now);
         } else {
-            window.cut(now);
+            window.shrink(now);
         }
         self.record_call_duration(&name, attempt, answered);
     }
 
-    /// Upstreams of a pool.
+    /// Iterates over the upstreams of a pool.
     pub(crate) fn upstreams_of<'a>(
         &'a self,
         pool: &'a core::Pool,
@@ -113,8 +114,8 @@
         keys.filter_map(|key| self.upstreams.get(*key))
     }
 
-    /// Calls of a pool that are under way.
-    fn calls(&self, pool: &core::Pool) -> u32 {
+    /// Number of calls of a pool in flight.
+    fn calls_in_pool(&self, pool: &core::Pool) -> u32 {
         let calls = self
             .upstreams_of(pool)
             .map(|upstream| upstream.attempts.len() as u32);
