--- a/crates/core/tests/kind.rs
+++ b/crates/core/tests/kind.rs
@@ -1,4 +1,4 @@
-//! The table from error kind to answer.
+//! Properties that hold for the error responses of all kinds.
 
 use {
     googletest::prelude::*,
@@ -7,13 +7,13 @@
 };
 
 #[gtest]
-fn every_kind_has_a_name_of_its_own() {
+fn names_of_kinds_are_unique() {
     let names: HashSet<&str> = Kind::ALL.iter().map(|kind| kind.answer().name).collect();
     expect_that!(names.len(), eq(Kind::ALL.len()));
 }
 
 #[gtest]
-fn what_asks_to_come_back_did_not_run_or_says_maybe() {
+fn retryable_kinds_are_temporary_and_few_client_errors_may_have_run() {
     for kind in Kind::ALL {
         let answer = kind.answer();
         if answer.retry {
--- a/crates/core/tests/queue.rs
+++ b/crates/core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting work: priorities, fair shares, and budgets.
+//! Request queue, retry budget and stall detector.
 
 use {
     googletest::prelude::*,
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn urgent_work_goes_before_normal_and_resumed_before_all() {
+fn resumed_requests_precede_urgent_and_urgent_precede_normal() {
     let keys = keys(3);
     let mut queue = Queue::default();
     queue.push(Priority::Normal, &customer("a", 1), keys[0], Time(0));
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn customers_share_by_weight() {
+fn customers_are_served_in_proportion_to_weight() {
     let keys = keys(400);
     let mut queue = Queue::default();
     for pair in keys.chunks(2) {
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn one_request_of_a_customer_does_not_wait_behind_all_of_another() {
+fn backlog_of_one_customer_does_not_delay_another() {
     let keys = keys(101);
     let mut queue = Queue::default();
     for key in &keys[..100] {
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn removed_work_is_not_sent() {
+fn removed_request_is_not_returned() {
     let keys = keys(2);
     let mut queue = Queue::default();
     let customer = customer("a", 1);
@@ -98,11 +98,11 @@
     expect_that!(budget.spend(Time(501)), eq(true));
 }
 
-/// Sizes of fleets, from one instance to more than the largest site has.
-const FLEETS: [u32; 5] = [1, 6, 74, 295, 320];
+/// Fleet sizes, from one instance to more than the largest site has.
+const FLEET_SIZES: [u32; 5] = [1, 6, 74, 295, 320];
 
-/// How many permits a fleet of which every instance has waited for long can spend at once, and in the ten
-/// seconds behind it.
+/// Permits that a fleet can spend at once after all instances were idle for long, and in the ten
+/// seconds after that.
 fn spent(instances: u32) -> (u32, u32) {
     let mut budgets = vec![Budget::new(20.0, 1.0, Time(0)); instances as usize];
     let mut at_once = 0;
@@ -120,26 +120,27 @@
 }
 
 #[gtest]
-fn every_instance_of_a_fleet_can_send_something_a_second_time() {
-    for instances in FLEETS {
+fn every_instance_of_a_fleet_has_a_retry_permit() {
+    for instances in FLEET_SIZES {
         let (at_once, _) = spent(instances);
         expect_that!(at_once, ge(instances), "{instances} instances");
     }
 }
 
 #[gtest]
-fn permits_of_a_fleet_do_not_add_up_beyond_the_whole() {
-    for instances in FLEETS {
+fn permits_of_a_fleet_stay_within_the_shared_budget() {
+    for instances in FLEET_SIZES {
         let (at_once, later) = spent(instances);
-        // What four instances have, and two that each may have in hand or owe.
+        // The budgets of four instances, and two permits that each instance may have in hand or
+        // overdraw.
         expect_that!(at_once, le(80 + 2 * instances), "{instances} instances");
-        // Four permits a second, and one that each instance may owe at the end.
+        // Four permits per second, and one that each instance may overdraw at the end.
         expect_that!(later, le(40 + instances), "{instances} instances");
     }
 }
 
 #[gtest]
-fn detector_follows_the_gaps_within_its_limits() {
+fn stall_timeout_follows_event_intervals_within_its_limits() {
     let settings = Settings::default();
     let mut detector = Detector::default();
     for _ in 0..500 {
--- a/crates/core/tests/relay/capacity.rs
+++ b/crates/core/tests/relay/capacity.rs
@@ -1,8 +1,9 @@
-//! Room at upstreams: who waits, who is refused, and in which order streams are sent.
+//! Capacity of upstreams: which requests wait, which are refused, and in which order streams are
+//! sent.
 
 use super::*;
 
-/// Settings of a core that gives upstreams whatever comes.
+/// Settings without capacity limits.
 fn unbounded() -> Settings {
     Settings {
         room: CapacityLimits::unbounded(),
@@ -11,15 +12,15 @@
 }
 
 impl Test {
-    /// Asks for some streams at the same moment.
+    /// Requests several streams at the same moment.
     fn burst(&mut self, streams: usize) {
         for _ in 0..streams {
             self.ask(STREAM);
         }
     }
 
-    /// Has a stream's prompt read after a second.
-    fn learn(&mut self) -> Sent {
+    /// Runs a stream whose prefill takes a second, so that the prefill speed is known.
+    fn measure_prefill(&mut self) -> Sent {
         self.ask(STREAM);
         let sent = self.last();
         self.pass(1_000);
@@ -30,14 +31,14 @@
 }
 
 #[gtest]
-fn upstream_reads_no_more_prompts_at_once_than_it_may() {
+fn concurrent_prefills_of_an_upstream_are_limited() {
     let mut test = Test::new(1);
     test.burst(3);
     expect_that!(test.sent().len(), eq(2));
 }
 
 #[gtest]
-fn without_bounds_an_upstream_is_given_whatever_comes() {
+fn without_limits_all_streams_are_sent_at_once() {
     let mut test = Test::set(unbounded()).configured(1);
     test.burst(40);
     expect_that!(test.sent().len(), eq(40));
@@ -45,7 +46,7 @@
 }
 
 #[gtest]
-fn stream_that_found_no_room_is_sent_when_there_is_some() {
+fn waiting_stream_is_sent_when_capacity_becomes_free() {
     let mut test = Test::new(1);
     test.burst(3);
     let first = test.sent()[0].clone();
@@ -56,9 +57,9 @@
 }
 
 #[gtest]
-fn stream_that_would_wait_too_long_is_refused_at_once() {
+fn stream_that_would_wait_too_long_is_refused_immediately() {
     let mut test = Test::new(1);
-    test.learn();
+    test.measure_prefill();
     test.burst(30);
     expect_that!(test.sent().len(), eq(3));
     expect_that!(test.ends(), not(is_empty()));
@@ -66,20 +67,20 @@
 }
 
 #[gtest]
-fn refused_callers_are_asked_to_come_back_at_different_times_that_they_follow() {
+fn retry_delays_of_refused_callers_are_spread_and_bounded() {
     let mut test = Test::new(1);
-    test.learn();
+    test.measure_prefill();
     test.burst(60);
-    let mut come_backs = test.come_backs();
-    expect_that!(come_backs, each(all![ge(&200), le(&6_667)]));
-    let asked = come_backs.len();
-    come_backs.sort_unstable();
-    come_backs.dedup();
-    expect_that!(come_backs.len() * 2, gt(asked));
+    let mut retry_delays = test.come_backs();
+    expect_that!(retry_delays, each(all![ge(&200), le(&6_667)]));
+    let refused = retry_delays.len();
+    retry_delays.sort_unstable();
+    retry_delays.dedup();
+    expect_that!(retry_delays.len() * 2, gt(refused));
 }
 
 #[gtest]
-fn waiting_stream_is_refused_when_it_can_no_longer_begin_in_time() {
+fn waiting_stream_is_refused_when_it_can_no_longer_start_in_time() {
     let mut test = Test::new(1);
     test.burst(3);
     test.pass(4_400);
@@ -89,7 +90,7 @@
 }
 
 #[gtest]
-fn copies_yield_where_memory_is_short() {
+fn no_copies_are_made_when_memory_is_short() {
     let mut test = Test::new(4);
     let mut copies = Vec::new();
     for _ in 0..40 {
@@ -104,7 +105,7 @@
 }
 
 #[gtest]
-fn memory_of_an_upstream_is_not_overfilled() {
+fn memory_of_an_upstream_is_not_exceeded() {
     let mut test = Test::new(1);
     for _ in 0..30 {
         test.ask(STREAM);
@@ -117,7 +118,7 @@
 }
 
 #[gtest]
-fn streams_that_wait_at_other_instances_go_first() {
+fn earlier_streams_waiting_at_other_instances_go_first() {
     let mut test = Test::new(1);
     test.waits_elsewhere(1);
     test.waits_elsewhere(2);
@@ -133,7 +134,7 @@
 }
 
 #[gtest]
-fn streams_of_an_instance_that_is_gone_are_waited_for_in_bounds() {
+fn streams_of_a_lost_instance_hold_up_others_only_for_a_limited_time() {
     let mut test = Test::new(1);
     test.waits_elsewhere(1);
     test.waits_elsewhere(2);
@@ -143,7 +144,7 @@
 }
 
 #[gtest]
-fn own_waiting_streams_are_told_to_other_instances() {
+fn waiting_streams_are_reported_to_other_instances() {
     let mut test = Test::new(1);
     test.burst(3);
     let waits = |effect: &&Effect| match effect {
@@ -154,9 +155,9 @@
 }
 
 #[gtest]
-fn late_stream_takes_only_what_others_leave() {
+fn late_stream_uses_only_spare_capacity() {
     let mut test = Test::new(1);
-    let sent = test.learn();
+    let sent = test.measure_prefill();
     test.pass_on(&sent, 2);
     test.ask(STREAM);
     test.ask_within(14_000, "key", STREAM, 0);
@@ -169,9 +170,9 @@
 }
 
 #[gtest]
-fn stream_that_can_not_end_in_the_time_left_is_refused_at_once() {
+fn stream_that_cannot_finish_in_time_is_refused_immediately() {
     let mut test = Test::new(3);
-    test.learn();
+    test.measure_prefill();
     test.ask_within(500, "key", STREAM, 0);
     expect_that!(test.sent().len(), eq(1));
     expect_that!(test.ends(), elements_are![eq("too_late")]);
@@ -179,7 +180,7 @@
 }
 
 #[gtest]
-fn upstream_that_refused_is_full_for_a_while() {
+fn upstream_that_refused_gets_no_work_for_a_while() {
     let mut test = Test::new(1);
     test.ask(STREAM);
     let sent = test.last();
@@ -190,7 +191,7 @@
 }
 
 #[gtest]
-fn slow_prompt_is_not_read_again_where_there_is_no_room() {
+fn slow_prefill_is_not_repeated_without_free_capacity() {
     let mut test = Test::new(2);
     test.burst(4);
     expect_that!(test.sent().len(), eq(4));
@@ -200,7 +201,7 @@
 }
 
 #[gtest]
-fn request_waits_for_the_first_configuration_and_has_less_time_then() {
+fn wait_for_the_first_configuration_counts_against_the_deadline() {
     let mut test = Test::without_configuration();
     test.ask(ONCE);
     test.pass(1_000);
@@ -209,7 +210,7 @@
 }
 
 #[gtest]
-fn caller_that_leaves_while_there_is_no_configuration_is_forgotten() {
+fn request_is_dropped_when_its_caller_disconnects_before_the_first_configuration() {
     let mut test = Test::without_configuration();
     let caller = test.ask(ONCE);
     test.tell(Event::CallerGone(caller));
@@ -218,7 +219,7 @@
 }
 
 #[gtest]
-fn caller_who_has_a_part_waits_for_the_streams_that_were_kept() {
+fn resuming_caller_waits_for_the_recall_of_stored_streams() {
     let mut test = Test::new(6).recalling();
     test.ask(ONCE);
     test.ask_as("key", STREAM, 9);
@@ -229,14 +230,14 @@
 }
 
 impl Test {
-    /// Asks for calls at the same moment.
+    /// Requests several calls at the same moment.
     fn calls(&mut self, calls: usize) {
         for _ in 0..calls {
             self.ask(ONCE);
         }
     }
 
-    /// Has a call answered by an upstream that tells its load.
+    /// Completes a call with a response that carries the load of its upstream.
     fn answer_with(&mut self, sent: &Sent, waiting: u32) {
         let load = Load {
             leaving: false,
@@ -251,7 +252,7 @@
 }
 
 #[gtest]
-fn calls_beyond_the_window_wait_and_are_refused_soon() {
+fn calls_beyond_the_window_wait_and_are_then_refused() {
     let mut test = Test::new(4);
     test.calls(20);
     expect_that!(test.sent().len(), eq(16));
@@ -261,7 +262,7 @@
 }
 
 #[gtest]
-fn streams_that_do_not_tell_their_size_have_no_window() {
+fn window_does_not_apply_to_streams_of_unknown_size() {
     let mut test = Test::new(4);
     for _ in 0..40 {
         test.ask_of_size(0, STREAM);
@@ -270,7 +271,7 @@
 }
 
 #[gtest]
-fn broken_connections_narrow_the_window() {
+fn broken_connections_shrink_the_window() {
     let mut test = Test::new(4);
     test.calls(16);
     for sent in test.sent() {
@@ -283,19 +284,19 @@
 }
 
 #[gtest]
-fn calls_at_once_follow_the_slots_that_upstreams_tell() {
+fn window_is_bounded_by_the_share_of_reported_slots() {
     let mut test = Test::new(1);
     test.tell(Event::Instances(View::numbered(0, 6)));
     test.calls(1);
     let sent = test.last();
     test.answer_with(&sent, 0);
     test.calls(10);
-    // Three for each of six slots, over six instances.
+    // Three calls for each of six slots, shared by six instances.
     expect_that!(test.sent().len(), eq(1 + 3));
 }
 
 #[gtest]
-fn queue_at_an_upstream_narrows_the_window() {
+fn reported_queue_shrinks_the_window() {
     let mut test = Test::new(1);
     test.calls(16);
     for sent in test.sent() {
@@ -308,7 +309,7 @@
 }
 
 #[gtest]
-fn permits_for_second_sendings_are_those_of_the_pool() {
+fn retry_permits_are_counted_per_pool() {
     let mut test = Test::new(1);
     for _ in 0..100 {
         test.ask(ONCE);
@@ -316,14 +317,14 @@
         test.answer(&sent, Verdict::Good);
     }
     test.tell(Event::Instances(View::numbered(0, 40)));
-    let mut again = 0;
+    let mut retries = 0;
     for _ in 0..30 {
         test.ask(ONCE);
         let sent = test.last();
         test.fail(&sent, Failure::Refused);
         test.pass(1_100);
-        again += usize::from(test.last().attempt != sent.attempt);
+        retries += usize::from(test.last().attempt != sent.attempt);
     }
-    // A part of a tenth of what four instances have, and one for each ten requests.
-    expect_that!(again, all![gt(0), lt(30)]);
+    // A tenth of the budget of four instances, and one permit for every ten requests.
+    expect_that!(retries, all![gt(0), lt(30)]);
 }
--- a/crates/core/tests/relay/fleet.rs
+++ b/crates/core/tests/relay/fleet.rs
@@ -1,23 +1,24 @@
-//! One of many instances: its part of what all keep together, and what it does that others do too.
+//! Behaviour of one instance in a fleet: shared budgets, distributed admission control, and
+//! placement when others decide alike.
 
 use super::*;
 use std::collections::BTreeMap;
 use wellplank_core::{demand::Demand, settings::SharedSettings};
 
-/// Sizes of fleets, from one instance to more than the largest site has.
-const FLEETS: [u32; 5] = [1, 6, 74, 295, 320];
+/// Fleet sizes, from one instance to more than the largest site has.
+const FLEET_SIZES: [u32; 5] = [1, 6, 74, 295, 320];
 
-/// A core that knows how many instances there are.
-fn one_of(instances: u32, settings: Settings) -> Test {
+/// A configured core in a fleet of `instances` instances.
+fn core_in_fleet(instances: u32, settings: Settings) -> Test {
     let mut test = Test::set(settings).configured(12);
     test.tell(Event::Instances(View::numbered(0, u64::from(instances))));
     test
 }
 
 #[gtest]
-fn stream_that_was_lost_before_its_first_event_is_sent_again_in_fleets_of_any_size() {
-    for instances in FLEETS {
-        let mut test = one_of(instances, Settings::default());
+fn stream_lost_before_its_first_event_is_retried_in_fleets_of_any_size() {
+    for instances in FLEET_SIZES {
+        let mut test = core_in_fleet(instances, Settings::default());
         test.ask(STREAM);
         let sent = test.last();
         test.fail(&sent, Failure::Broken);
@@ -26,7 +27,7 @@
 }
 
 #[gtest]
-fn without_a_least_part_hundreds_of_instances_send_nothing_again() {
+fn without_a_minimum_share_instances_of_a_large_fleet_do_not_retry() {
     let settings = Settings {
         shared: SharedSettings {
             least: 0.0,
@@ -34,7 +35,7 @@
         },
         ..Settings::default()
     };
-    let mut test = one_of(295, settings);
+    let mut test = core_in_fleet(295, settings);
     test.ask(STREAM);
     let sent = test.last();
     test.fail(&sent, Failure::Broken);
@@ -42,9 +43,9 @@
 }
 
 #[gtest]
-fn what_no_upstream_took_in_is_sent_again_without_a_permit() {
+fn request_that_no_upstream_accepted_is_resent_without_a_permit() {
     for failure in [Failure::NotSent, Failure::Replaced, Failure::Leaving] {
-        let mut test = one_of(295, Settings::default());
+        let mut test = core_in_fleet(295, Settings::default());
         for _ in 0..4 {
             test.ask(ONCE);
             let sent = test.last();
@@ -55,9 +56,9 @@
 }
 
 #[gtest]
-fn call_that_runs_once_is_not_sent_again_after_a_break_in_any_fleet() {
-    for instances in FLEETS {
-        let mut test = one_of(instances, Settings::default());
+fn at_most_once_call_is_not_retried_in_fleets_of_any_size() {
+    for instances in FLEET_SIZES {
+        let mut test = core_in_fleet(instances, Settings::default());
         test.ask(ONCE);
         let sent = test.last();
         test.fail(&sent, Failure::Broken);
@@ -66,7 +67,7 @@
 }
 
 #[gtest]
-fn request_waits_for_the_first_list_of_upstreams() {
+fn request_waits_for_the_first_upstream_list() {
     let mut test = Test::without_configuration();
     test.tell(Event::Config(Arc::new(configuration(1))));
     test.ask(ONCE);
@@ -77,9 +78,9 @@
     expect_that!(test.last().left_ms, eq(19_700));
 }
 
-/// How many streams go to the upstream that gets most, if each of some instances that know the same sends one
-/// to one of 60 upstreams.
-fn most_at_one(instances: u32, sample: f64) -> usize {
+/// Streams at the upstream that gets the most, if each of `instances` instances with the same
+/// information sends one stream to one of 60 upstreams.
+fn max_streams_at_one_upstream(instances: u32, sample: f64) -> usize {
     let mut settings = Settings::default();
     settings.place.sample = sample;
     settings.probes = false;
@@ -89,7 +90,7 @@
         test.core = Core::new(settings.clone(), [0; 32], u64::from(seed), NOW);
         let mut test = test.configured(60);
         test.tell(Event::Instances(View::numbered(0, u64::from(instances))));
-        // All but a few are known to be busy.
+        // All but four upstreams are known to be busy.
         for upstream in 4..60 {
             test.tell(Event::Sighted(Sighting {
                 prompt: 1_000 + upstream as u64,
@@ -104,17 +105,21 @@
 }
 
 #[gtest]
-fn instances_that_know_the_same_do_not_all_choose_the_same_upstream() {
-    expect_that!(most_at_one(60, Settings::default().place.sample), le(15));
-    expect_that!(most_at_one(60, 0.0), ge(16));
+fn instances_with_the_same_information_choose_different_upstreams() {
+    expect_that!(
+        max_streams_at_one_upstream(60, Settings::default().place.sample),
+        le(15)
+    );
+    expect_that!(max_streams_at_one_upstream(60, 0.0), ge(16));
 }
 
 impl Test {
-    /// Has other instances told what they are asked of the pool; `running` of them have a call under way.
-    fn demand(&mut self, instances: u16, asked: f64, running: u16) {
+    /// Delivers the demand of other instances for the pool; `running` of them have a call in
+    /// flight.
+    fn demand(&mut self, instances: u16, arrival_rate: f64, running: u16) {
         for instance in 0..instances {
             let demand = Demand {
-                arrival_rate: asked,
+                arrival_rate,
                 last_call: None,
                 pool: "pool".into(),
                 retry_rate: 0.0,
@@ -126,7 +131,7 @@
         }
     }
 
-    /// One of 295 instances, before six upstreams of six slots.
+    /// One of 295 instances, with six upstreams of six slots.
     fn with_slots(settings: Settings) -> Self {
         let mut test = Self::set(settings);
         test.tell(Event::Config(Arc::new(configuration(1))));
@@ -139,12 +144,13 @@
         test
     }
 
-    /// How many of a hundred calls are sent, with so much asked at each of 294 other instances.
-    fn sent_of_a_hundred(asked: f64) -> usize {
+    /// Number of calls sent out of a hundred, with this arrival rate at each of 294 other
+    /// instances.
+    fn sent_of_hundred_calls(arrival_rate: f64) -> usize {
         let mut test = Self::with_slots(Settings::default());
         for _ in 0..100 {
             test.pass(250);
-            test.demand(294, asked, 58);
+            test.demand(294, arrival_rate, 58);
             let before = test.sent().len();
             test.ask(ONCE);
             if test.sent().len() > before {
@@ -158,18 +164,18 @@
 }
 
 #[gtest]
-fn calls_are_all_sent_while_the_slots_serve_what_all_instances_ask() {
-    expect_that!(Test::sent_of_a_hundred(1.0), eq(100));
+fn all_calls_are_sent_while_demand_is_within_capacity() {
+    expect_that!(Test::sent_of_hundred_calls(1.0), eq(100));
 }
 
 #[gtest]
-fn an_instance_admits_the_part_of_its_calls_that_the_slots_serve() {
-    // 36 slots serve 540 calls a second of 60 ms; 1,176 are asked for.
-    expect_that!(Test::sent_of_a_hundred(4.0), all![ge(30), le(65)]);
+fn instance_admits_the_share_of_calls_that_the_slots_serve() {
+    // 36 slots serve 540 calls per second of 60 ms; the demand is 1,176.
+    expect_that!(Test::sent_of_hundred_calls(4.0), all![ge(30), le(65)]);
 }
 
 #[gtest]
-fn what_instances_that_are_gone_asked_does_not_count() {
+fn stale_demand_of_other_instances_is_ignored() {
     let mut test = Test::set(Settings::default()).configured(6);
     test.tell(Event::Instances(View::numbered(0, 295)));
     test.demand(294, 100.0, 0);
@@ -179,7 +185,7 @@
 }
 
 #[gtest]
-fn words_of_few_instances_do_not_stand_for_hundreds() {
+fn demand_of_few_instances_is_not_extrapolated() {
     let mut test = Test::set(Settings::default()).configured(6);
     test.tell(Event::Instances(View::numbered(0, 295)));
     test.demand(7, 10.0, 0);
@@ -188,29 +194,30 @@
 }
 
 #[gtest]
-fn what_is_asked_is_told_to_other_instances() {
+fn demand_is_sent_to_other_instances() {
     let mut test = Test::set(Settings::default()).configured(6);
     test.ask(ONCE);
     test.ask(ONCE);
     test.pass(300);
-    let told = test.effects.iter().find_map(|effect| match effect {
+    let sent = test.effects.iter().find_map(|effect| match effect {
         Effect::Demand { demand, pressed } => Some((demand.clone(), *pressed)),
         _ => None,
     });
-    let (demand, pressed) = told.expect("something is told");
+    let (demand, pressed) = sent.expect("a demand message is sent");
     expect_that!(demand.running, eq(2));
     expect_that!(demand.arrival_rate, gt(0.0));
     expect_that!(pressed, eq(false));
 }
 
-/// How often a call is sent that an upstream fails while so much is asked at each of 294 other instances.
-fn sendings_of_a_fault(asked: f64, second: bool) -> usize {
+/// Number of times that a failing call is sent, with this arrival rate at each of 294 other
+/// instances.
+fn sends_of_failing_call(arrival_rate: f64, second: bool) -> usize {
     let mut settings = Settings::default();
     settings.calls.second = second;
     let mut test = Test::with_slots(settings);
-    test.demand(294, asked, 58);
+    test.demand(294, arrival_rate, 58);
     test.pass(300);
-    test.demand(294, asked, 58);
+    test.demand(294, arrival_rate, 58);
     while test.sent().is_empty() {
         test.ask(AGAIN);
     }
@@ -220,9 +227,9 @@
 }
 
 #[gtest]
-fn call_that_an_upstream_failed_is_sent_on_unless_its_service_is_nearly_full() {
-    expect_that!(sendings_of_a_fault(0.2, false), eq(2));
-    expect_that!(sendings_of_a_fault(1.2, false), eq(2));
-    expect_that!(sendings_of_a_fault(1.7, false), eq(1));
-    expect_that!(sendings_of_a_fault(1.7, true), eq(2));
+fn failed_call_is_retried_unless_its_service_is_nearly_full() {
+    expect_that!(sends_of_failing_call(0.2, false), eq(2));
+    expect_that!(sends_of_failing_call(1.2, false), eq(2));
+    expect_that!(sends_of_failing_call(1.7, false), eq(1));
+    expect_that!(sends_of_failing_call(1.7, true), eq(2));
 }
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -1,14 +1,14 @@
-//! Requests that end the upstreams that run them: when one is refused, and when its upstreams' ends say nothing of it.
+//! Poison requests: when they are refused, and which ends of upstreams do not count as crashes.
 
 use super::*;
 
-/// The request that the tests ask with a body.
+/// Fingerprint of the request that the tests send with this body.
 fn print(body: u64) -> Print {
     Print::new("mill", body)
 }
 
-/// What another instance tells of upstreams that ended under a request.
-fn told(body: u64, upstreams: std::ops::Range<usize>) -> Event {
+/// A report from another instance of upstreams that crashed while running a request.
+fn reported(body: u64, upstreams: std::ops::Range<usize>) -> Event {
     let mut account = CrashHistory::default();
     for upstream in upstreams {
         account.record(life(upstream, 0), print(body), Involvement::Fresh, NOW);
@@ -16,25 +16,25 @@
     Event::Crashed(account.into())
 }
 
-/// Has upstreams end under a stream, one behind the other.
-fn end_upstreams(test: &mut Test, ends: usize) {
+/// Crashes upstreams under a stream, one after the other.
+fn crash_upstreams(test: &mut Test, crashes: usize) {
     test.ask(STREAM);
-    for _ in 0..ends {
+    for _ in 0..crashes {
         let sent = test.last();
         test.break_off(&sent, true);
     }
 }
 
-/// Attempts that were taken back.
+/// Number of cancelled attempts.
 fn cancelled(test: &Test) -> usize {
     let cancels = |effect: &&Effect| matches!(effect, Effect::Cancel { .. });
     test.effects.iter().filter(cancels).count()
 }
 
 #[gtest]
-fn stream_under_which_three_upstreams_ended_is_given_up() {
+fn stream_is_abandoned_after_three_crashes() {
     let mut test = Test::new(9);
-    end_upstreams(&mut test, 3);
+    crash_upstreams(&mut test, 3);
     expect_that!(test.sent().len(), eq(3));
     expect_that!(test.ends(), elements_are![eq("ends_upstreams")]);
     expect_that!(test.come_backs(), is_empty());
@@ -42,18 +42,18 @@
 }
 
 #[gtest]
-fn its_next_try_is_refused_at_once_as_not_run() {
+fn next_attempt_of_a_poison_request_is_refused_as_not_run() {
     let mut test = Test::new(9);
-    end_upstreams(&mut test, 3);
+    crash_upstreams(&mut test, 3);
     test.ask(STREAM);
     expect_that!(test.sent().len(), eq(3));
     expect_that!(test.ends()[1], eq("quarantined"));
 }
 
 #[gtest]
-fn other_requests_of_its_customer_are_served() {
+fn other_requests_of_the_same_customer_are_served() {
     let mut test = Test::new(9);
-    end_upstreams(&mut test, 3);
+    crash_upstreams(&mut test, 3);
     test.body = 1;
     let sent = test.stream(2);
     test.close(&sent, true);
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn call_under_which_upstreams_ended_over_several_tries_is_refused() {
+fn crashes_over_several_attempts_of_a_call_are_counted_together() {
     let mut test = Test::new(9);
     for ends in 0..2 {
         test.ask(AGAIN);
@@ -76,9 +76,9 @@
 }
 
 #[gtest]
-fn sending_that_may_be_its_fourth_waits_until_it_is_known_whether_the_third_upstream_ended() {
+fn retry_waits_for_the_check_whether_the_third_upstream_crashed() {
     let mut test = Test::new(9);
-    end_upstreams(&mut test, 2);
+    crash_upstreams(&mut test, 2);
     let third = test.last();
     test.fail(&third, Failure::Broken);
     test.pass(100);
@@ -90,9 +90,9 @@
 }
 
 #[gtest]
-fn sending_goes_on_when_it_does_not_come_out_whether_the_upstream_ended() {
+fn retry_proceeds_when_the_crash_check_times_out() {
     let mut test = Test::new(9);
-    end_upstreams(&mut test, 2);
+    crash_upstreams(&mut test, 2);
     let third = test.last();
     test.fail(&third, Failure::Broken);
     test.pass(500);
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn connections_that_break_to_upstreams_that_live_convict_nobody() {
+fn broken_connections_to_live_upstreams_quarantine_no_request() {
     let mut test = Test::new(9);
     for _ in 0..4 {
         test.ask(AGAIN);
@@ -139,7 +139,7 @@
 }
 
 #[gtest]
-fn upstreams_that_leave_and_end_convict_nobody() {
+fn ends_of_leaving_upstreams_quarantine_no_request() {
     let mut test = Test::new(9);
     test.ask(STREAM);
     for _ in 0..4 {
@@ -154,41 +154,41 @@
 }
 
 #[gtest]
-fn what_another_instance_saw_takes_back_what_runs_here() {
+fn reported_crashes_cancel_the_running_request() {
     let mut test = Test::new(9);
     test.ask(STREAM);
-    test.tell(told(0, 3..6));
+    test.tell(reported(0, 3..6));
     expect_that!(cancelled(&test), eq(1));
     expect_that!(test.ends(), elements_are![eq("ends_upstreams")]);
 }
 
 #[gtest]
-fn what_another_instance_saw_takes_back_what_waits_here() {
+fn reported_crashes_refuse_the_waiting_request() {
     let mut test = Test::new(0);
     test.ask(STREAM);
-    test.tell(told(0, 3..6));
+    test.tell(reported(0, 3..6));
     expect_that!(test.ends(), elements_are![eq("quarantined")]);
 }
 
 #[gtest]
-fn ends_seen_by_several_instances_count_once_each() {
+fn crash_seen_by_several_instances_counts_once() {
     let mut test = Test::new(9);
-    end_upstreams(&mut test, 2);
+    crash_upstreams(&mut test, 2);
     let seen: Vec<usize> = test.sent()[..2].iter().map(|sent| sent.upstream).collect();
     for upstream in &seen {
-        test.tell(told(0, *upstream..upstream + 1));
+        test.tell(reported(0, *upstream..upstream + 1));
     }
     expect_that!(test.ends(), is_empty());
     let other = (0..9).find(|other| !seen.contains(other)).unwrap();
-    test.tell(told(0, other..other + 1));
+    test.tell(reported(0, other..other + 1));
     expect_that!(test.ends(), elements_are![eq("ends_upstreams")]);
 }
 
 #[gtest]
-fn whole_answer_clears_a_request_of_the_ends_before_it() {
+fn complete_response_clears_a_request_of_earlier_crashes() {
     let mut test = Test::new(9);
     for _ in 0..2 {
-        end_upstreams(&mut test, 2);
+        crash_upstreams(&mut test, 2);
         let sent = test.last();
         test.tell(Event::Opened(sent.attempt));
         test.pass_on(&sent, 1);
@@ -199,21 +199,21 @@
 }
 
 #[gtest]
-fn request_beside_a_guilty_one_is_not_refused_where_ends_are_explained() {
+fn request_beside_a_poison_request_is_not_refused_by_the_rule_explained() {
     let settings = Settings {
         quarantine: wellplank_core::settings::QuarantineRule::Explained,
         ..Settings::default()
     };
     let mut test = Test::set(settings).configured(9);
-    test.tell(told(7, 20..23));
-    test.tell(told(0, 20..22));
+    test.tell(reported(7, 20..23));
+    test.tell(reported(0, 20..22));
     test.pass(100);
-    end_upstreams(&mut test, 2);
+    crash_upstreams(&mut test, 2);
     expect_that!(test.ends(), is_empty());
 }
 
 #[gtest]
-fn requests_that_were_at_an_end_together_are_sent_to_different_upstreams() {
+fn suspects_of_the_same_crash_are_sent_to_different_upstreams() {
     for _ in 0..10 {
         let mut test = Test::new(9);
         let mut together = Vec::new();
@@ -222,7 +222,7 @@
             test.ask(STREAM);
             together.push(test.last());
         }
-        let account = |body| told(body, 20..21);
+        let account = |body| reported(body, 20..21);
         (0..4).for_each(|body| test.tell(account(body)));
         let before = test.sent().len();
         for sent in &together {
@@ -239,40 +239,41 @@
 }
 
 #[gtest]
-fn nothing_is_refused_where_that_is_switched_off() {
+fn no_request_is_refused_when_quarantine_is_off() {
     let settings = Settings {
         quarantine: wellplank_core::settings::QuarantineRule::Off,
         ..Settings::default()
     };
     let mut test = Test::set(settings).configured(9);
-    end_upstreams(&mut test, 5);
+    crash_upstreams(&mut test, 5);
     expect_that!(test.sent().len(), eq(5));
     let quarantine = |effect: &&Effect| matches!(effect, Effect::Quarantine(_));
     expect_that!(test.effects.iter().filter(quarantine).count(), eq(0));
 }
 
 #[gtest]
-fn instances_are_told_of_an_end_once() {
+fn crash_is_reported_to_other_instances_once() {
     let mut test = Test::new(9);
-    end_upstreams(&mut test, 1);
-    let told = |effect: &&Effect| matches!(effect, Effect::Quarantine(effect::Quarantine::Tell(_)));
-    expect_that!(test.effects.iter().filter(told).count(), eq(1));
+    crash_upstreams(&mut test, 1);
+    let reported =
+        |effect: &&Effect| matches!(effect, Effect::Quarantine(effect::Quarantine::Tell(_)));
+    expect_that!(test.effects.iter().filter(reported).count(), eq(1));
 }
 
 #[gtest]
-fn all_tries_that_wait_are_refused_together() {
+fn all_waiting_attempts_are_refused_together() {
     let mut test = Test::new(1);
     for _ in 0..8 {
         test.ask(STREAM);
     }
-    test.tell(told(0, 3..6));
+    test.tell(reported(0, 3..6));
     expect_that!(test.ends().len(), eq(8));
 }
 
 #[gtest]
-fn try_is_given_up_once_when_it_shows_that_an_upstream_ended_under_another_try() {
+fn attempt_is_abandoned_once_when_it_reveals_a_crash_under_another_attempt() {
     let mut test = Test::new(3);
-    end_upstreams(&mut test, 2);
+    crash_upstreams(&mut test, 2);
     let first = test.last();
     test.ask(STREAM);
     let second = test.last();
@@ -286,7 +287,7 @@
 }
 
 #[gtest]
-fn request_whose_connections_break_to_upstreams_that_live_is_not_held_back() {
+fn retry_after_broken_connection_to_a_live_upstream_is_not_delayed() {
     let mut test = Test::new(3);
     test.ask(STREAM);
     for sent in 1..5 {
@@ -296,10 +297,11 @@
     }
 }
 
-/// Ends that another instance saw lapse here too: the one that saw them removes what is kept of the request, and no other.
+/// Crashes expire at every instance, but only one that observed them itself deletes the stored
+/// record of the request.
 #[gtest]
-fn request_is_freed_where_it_is_kept_by_who_kept_it() {
-    let freed = |test: &mut Test| {
+fn only_the_observer_of_a_crash_deletes_its_stored_record() {
+    let released = |test: &mut Test| {
         test.now = test.now.after(25 * 3_600_000);
         test.tell(Event::Tick);
         let own = |effect: &Effect| match effect {
@@ -308,10 +310,10 @@
         };
         test.effects.iter().filter_map(own).collect::<Vec<bool>>()
     };
-    let mut saw = Test::new(9);
-    end_upstreams(&mut saw, 3);
-    expect_that!(freed(&mut saw), elements_are![eq(&true)]);
-    let mut heard = Test::new(9);
-    heard.tell(told(0, 0..3));
-    expect_that!(freed(&mut heard), elements_are![eq(&false)]);
+    let mut observer = Test::new(9);
+    crash_upstreams(&mut observer, 3);
+    expect_that!(released(&mut observer), elements_are![eq(&true)]);
+    let mut other = Test::new(9);
+    other.tell(reported(0, 0..3));
+    expect_that!(released(&mut other), elements_are![eq(&false)]);
 }
