--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -32,7 +32,7 @@
             return apply(&mut client, declaration, arguments).await;
         }
         let held = client.get().await?.declaration.unwrap_or_default();
-        for line in declaration::difference(&held, &declaration) {
+        for line in declaration::diff(&held, &declaration) {
             println!("{line}");
         }
         return Ok(());
@@ -116,7 +116,7 @@
             return Ok(());
         }
         if began.elapsed() > WAIT {
-            return Err(Error::Waiting(behind));
+            return Err(Error::NotInForce(behind));
         }
         tokio::time::sleep(LOOK).await;
     }
--- a/crates/ctl/src/declaration.rs
+++ b/crates/ctl/src/declaration.rs
@@ -29,7 +29,7 @@
 }
 
 /// Lines that say what is added, changed and removed from `old` to `new`.
-pub fn difference(old: &Declaration, new: &Declaration) -> Vec<String> {
+pub fn diff(old: &Declaration, new: &Declaration) -> Vec<String> {
     let mut lines = Vec::new();
     compare(
         &mut lines,
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -9,7 +9,7 @@
 const EXIT_CONFLICT: u8 = 3;
 
 /// Exit code for a change accepted but not in force everywhere in time.
-const EXIT_WAITING: u8 = 4;
+const EXIT_NOT_IN_FORCE: u8 = 4;
 
 /// What can go wrong.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     /// The runtime could not be started.
     Runtime(std::io::Error),
     /// Instances that do not have the revision in force yet.
-    Waiting(Vec<String>),
+    NotInForce(Vec<String>),
 }
 
 impl Error {
@@ -36,7 +36,7 @@
         match self {
             Self::Faults(_) | Self::File(..) => ExitCode::from(EXIT_USAGE),
             Self::Conflict(_) => ExitCode::from(EXIT_CONFLICT),
-            Self::Waiting(_) => ExitCode::from(EXIT_WAITING),
+            Self::NotInForce(_) => ExitCode::from(EXIT_NOT_IN_FORCE),
             Self::Call(_) | Self::Connect(..) | Self::Runtime(_) => ExitCode::FAILURE,
         }
     }
@@ -61,7 +61,7 @@
             }
             Self::File(path, text) => write!(formatter, "{}: {text}", path.display()),
             Self::Runtime(error) => write!(formatter, "can not start the runtime: {error}"),
-            Self::Waiting(names) => write!(
+            Self::NotInForce(names) => write!(
                 formatter,
                 "accepted, but not yet in force at {}",
                 names.join(", ")
--- a/crates/ctl/tests/command.rs
+++ b/crates/ctl/tests/command.rs
@@ -101,7 +101,7 @@
     new.customers[0].weight = 2;
     new.models.push(new.models[0].clone());
     new.models[1].name = "other".into();
-    let lines = declaration::difference(&old, &new);
+    let lines = declaration::diff(&old, &new);
     expect_that!(
         lines,
         elements_are![
@@ -110,9 +110,9 @@
             eq("- service notebook-summary"),
         ]
     );
-    expect_that!(declaration::difference(&old, &old), is_empty());
+    expect_that!(declaration::diff(&old, &old), is_empty());
     expect_that!(
-        declaration::difference(&Declaration::default(), &old).len(),
+        declaration::diff(&Declaration::default(), &old).len(),
         eq(6)
     );
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,7 +1,7 @@
 //! Calls of the platform's store.
 
 use super::*;
-use platform::store::{Call, Item, Page, Seen};
+use platform::store::{Call, Item, Page, WatchResponse};
 use wellplank_core::{bound::Bound, lesson::Age, line::Line};
 
 /// Time in which an answer that has begun must go on: as long as the kernel waits for a silent connection. However
@@ -147,7 +147,7 @@
         let (mut page, era) = self.page(prefix, None, patience, age).await?;
         let position = Position::new(era, page.revision);
         let mut items = std::mem::take(&mut page.items);
-        while page.more {
+        while page.has_more {
             let last = items.last().map(|item| item.key.clone());
             let last =
                 last.ok_or_else(|| Error::Store(format!("{prefix}: a page names no key")))?;
@@ -158,7 +158,7 @@
                     "{prefix}: pages of the eras {era} and {next}"
                 )));
             }
-            if page.items.is_empty() && page.more {
+            if page.items.is_empty() && page.has_more {
                 return Err(Error::Store(format!("{prefix}: a page names no key")));
             }
             items.append(&mut page.items);
@@ -180,7 +180,7 @@
         }
         let page = platform::store::decode_page(&body);
         let page = page.map_err(|error| Error::Store(error.to_string()))?;
-        self.leave_out(prefix, page.odd);
+        self.leave_out(prefix, page.malformed);
         Ok((page, era))
     }
 
@@ -199,18 +199,18 @@
         revision: u64,
         wait: Duration,
         patience: Duration,
-    ) -> Result<Option<(Seen, Position)>, Error> {
+    ) -> Result<Option<(WatchResponse, Position)>, Error> {
         let call = platform::store::watch(prefix, revision, wait);
         let Answer { body, era, status } = self.exchange(call, wait, patience).await?;
-        if platform::store::forgotten(status) {
+        if platform::store::is_compacted(status) {
             return Ok(None);
         }
         if status != StatusCode::OK {
             return Err(Error::Store(format!("watching {prefix}: {status}")));
         }
-        let seen = platform::store::decode_seen(&body);
+        let seen = platform::store::decode_watch(&body);
         let seen = seen.map_err(|error| Error::Store(error.to_string()))?;
-        self.leave_out(prefix, seen.odd);
+        self.leave_out(prefix, seen.malformed);
         let position = Position::new(era, seen.revision);
         Ok(Some((seen, position)))
     }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,7 +1,7 @@
 //! Passing a request on to an upstream, and its answer back, both as they are.
 
 use super::*;
-use platform::answer::Meaning;
+use platform::response::Classification;
 use wellplank_core::notice::Notice;
 
 /// A request as its caller sent it.
@@ -74,7 +74,7 @@
         else {
             return None;
         };
-        let forward = platform::request::Forward {
+        let forward = platform::request::ForwardHeaders {
             backup: *backup,
             copy: copy.as_deref().map(|run| (address, run)),
             customer: customer.as_deref(),
@@ -87,7 +87,7 @@
             .uri(format!("http://{address}{}", self.target))
             .body(http::Body::from(self.body.clone()))
             .ok()?;
-        *request.headers_mut() = platform::request::write(&self.headers, &forward);
+        *request.headers_mut() = platform::request::upstream_headers(&self.headers, &forward);
         Some(request)
     }
 }
@@ -109,28 +109,28 @@
             http::Error::NotSent(_) => Failure::NotSent,
         })?;
         let (parts, body) = response.into_parts();
-        let meaning =
-            platform::answer::meaning(parts.status, &parts.headers, &self.run, self.streams);
+        let classification =
+            platform::response::classify(parts.status, &parts.headers, &self.run, self.streams);
         let marked = parts.headers.contains_key(header::TRANSFER_ENCODING)
             || parts.headers.contains_key(header::CONTENT_LENGTH);
-        let notice = platform::answer::notice(parts.status, &parts.headers, &self.run);
+        let notice = platform::response::notice(parts.status, &parts.headers, &self.run);
         self.tell(parts.status, notice);
-        for word in platform::answer::unknown(&parts.headers) {
+        for word in platform::response::unknown_headers(&parts.headers) {
             self.driver.unknown(word, &self.upstream_name);
         }
         let head = Head {
             headers: platform::request::end_to_end(&parts.headers),
             status: parts.status,
         };
-        match meaning {
-            Meaning::Failed(failure) => Err(failure),
-            Meaning::Stream => {
+        match classification {
+            Classification::Failed(failure) => Err(failure),
+            Classification::Stream => {
                 let event = Event::Opened(self.attempt);
                 let held = driver::Held::Head(Box::new(head));
                 self.driver.hold(self.attempt, self.caller, held, event);
                 self.stream(body, marked).await
             }
-            Meaning::Whole(verdict) => {
+            Classification::Unary(verdict) => {
                 let body = body.collect().await.map_err(|_| Failure::Broken)?;
                 let answer = Answer {
                     body: body.to_bytes(),
@@ -173,7 +173,7 @@
             buffer.extend_from_slice(&data);
             while let Some(end) = event_end(&buffer) {
                 let event: Vec<u8> = buffer.drain(..end).collect();
-                let position = platform::answer::position(&event).ok_or(Failure::Broken)?;
+                let position = platform::response::position(&event).ok_or(Failure::Broken)?;
                 self.driver.event(Event::Passed {
                     attempt: self.attempt,
                     bytes: event.into(),
--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -206,7 +206,7 @@
         .await
         .map_err(|error| Error::Bind(address, std::io::Error::other(error)))?;
     let fuse = move |_: &FuseInfo| {
-        let idle = limits.borrow().idle.mul_f64(IDLE_MARGIN);
+        let idle = limits.borrow().idle_timeout.mul_f64(IDLE_MARGIN);
         FuseAction::Accept(FuseConfig::disabled().with_http1_header_timeout(idle))
     };
     tokio::spawn(Server::new(acceptor).fuse_policy(fuse).serve(router));
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -322,7 +322,7 @@
             Some(granted) => self.renew(granted).await,
             None => {
                 let asked = Instant::now();
-                let call = platform::store::lease(LEASE);
+                let call = platform::store::grant_lease(LEASE);
                 let feed::Answer { body, status, .. } = self.client.call(call, PATIENCE).await?;
                 if status != StatusCode::OK {
                     return Err(Error::Store(format!("lease: {status}")));
@@ -352,7 +352,7 @@
 
     async fn renew(&mut self, granted: Granted) -> Result<(), Error> {
         let asked = Instant::now();
-        let call = platform::store::renew(granted.id);
+        let call = platform::store::renew_lease(granted.id);
         self.granted = Some(Granted {
             tried: asked,
             ..granted
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -50,7 +50,7 @@
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         if let Err(kind) = self.relay(request, response).await {
             self.driver.count(Counter::Refused(kind));
-            let run = platform::request::run(request.headers());
+            let run = platform::request::request_id(request.headers());
             refuse(response, run.unwrap_or_default(), kind, None);
         }
         if self.stopping.borrow().is_some() {
@@ -67,12 +67,12 @@
         response: &mut salvo::Response,
     ) -> Result<(), Kind> {
         let limits = *self.limits.borrow();
-        if http::size(request.headers()) > limits.head_max {
+        if http::size(request.headers()) > limits.max_header_bytes {
             return Err(Kind::HeadTooLarge);
         }
         let body = body(request, limits).await?;
         let uri = request.uri();
-        let asked = platform::request::read(uri.path(), uri.query(), request.headers(), &body);
+        let asked = platform::request::parse(uri.path(), uri.query(), request.headers(), &body);
         let asked = asked.map_err(|error| {
             debug!("request: {error}");
             Kind::BadBody
@@ -119,8 +119,8 @@
     request: &mut salvo::Request,
     limits: platform::configuration::Limits,
 ) -> Result<Bytes, Kind> {
-    let read = request.payload_with_max_size(limits.body_max);
-    let Ok(read) = timeout(limits.head_wait, read).await else {
+    let read = request.payload_with_max_size(limits.max_body_bytes);
+    let Ok(read) = timeout(limits.header_timeout, read).await else {
         return Err(Kind::SlowBody);
     };
     read.cloned().map_err(|error| match error {
@@ -215,7 +215,7 @@
     warn!(request, kind = kind_name, status, may_have_run = ran, come_back_ms; "error answered");
     caller::refuse(response, kind, None);
     if let Some(millis) = retry_after_ms {
-        let seconds = platform::answer::retry_after(millis);
+        let seconds = platform::response::retry_after(millis);
         let _ = response.add_header(header::RETRY_AFTER, seconds, true);
     }
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Longest frame in bytes; a longer one ends the connection.
-pub const LENGTH_MAX: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// Reads and writes frames.
 #[derive(Debug)]
@@ -13,8 +13,8 @@
 #[derive(Debug)]
 pub enum Error {
     /// The bytes are no frame.
-    Frame(prost::DecodeError),
-    /// The connection failed, or a frame was longer than [`LENGTH_MAX`].
+    Decode(prost::DecodeError),
+    /// The connection failed, or a frame was longer than [`MAX_FRAME_BYTES`].
     Io(io::Error),
 }
 
@@ -23,7 +23,7 @@
     pub fn new() -> Self {
         Self(
             LengthDelimitedCodec::builder()
-                .max_frame_length(LENGTH_MAX)
+                .max_frame_length(MAX_FRAME_BYTES)
                 .new_codec(),
         )
     }
@@ -37,7 +37,7 @@
         let Some(bytes) = self.0.decode(source)? else {
             return Ok(None);
         };
-        Frame::decode(bytes).map(Some).map_err(Error::Frame)
+        Frame::decode(bytes).map(Some).map_err(Error::Decode)
     }
 }
 
@@ -50,7 +50,7 @@
 impl Display for Error {
     fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
         match self {
-            Self::Frame(error) => write!(formatter, "not a frame: {error}"),
+            Self::Decode(error) => write!(formatter, "not a frame: {error}"),
             Self::Io(error) => write!(formatter, "peer connection: {error}"),
         }
     }
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -5,7 +5,7 @@
     googletest::prelude::*,
     tokio_util::codec::{Decoder, Encoder},
     wellplank_wire::{
-        frame::{Codec, LENGTH_MAX},
+        frame::{Codec, MAX_FRAME_BYTES},
         peer::{Frame, Heartbeat, frame::Body},
     },
 };
@@ -46,7 +46,7 @@
 
 #[gtest]
 fn frame_above_the_limit_is_an_error() {
-    let length = (LENGTH_MAX as u32 + 1).to_be_bytes();
+    let length = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     let mut source = BytesMut::from(&length[..]);
     expect_that!(Codec::new().decode(&mut source).is_err(), eq(true));
 }
