--- a/crates/schema/src/main.rs
+++ b/crates/schema/src/main.rs
@@ -1,24 +1,23 @@
-//! Generates the code of the schema files into the `wire` package, where it is committed.
+//! Generates code from the schema files into the `wire` package, where it is committed.
 //!
-//! Run it from the root of the repository after a change of a schema file:
-//! `cargo run -p wellplank-schema`. With `--check` it only says whether the committed code is
-//! that of the schema files.
+//! Run `cargo run -p wellplank-schema` from the root of the repository after changing a schema file. With `--check` it
+//! leaves the committed code as it is, and fails if that is out of date.
 
 use std::{error::Error, fs, path::Path, process::ExitCode};
 
-const FILES: [&str; 2] = ["operator.proto", "peer.proto"];
-const GENERATED: &str = "crates/wire/src/generated";
-const SCHEMAS: &str = "crates/wire/proto";
+const SCHEMA_FILES: [&str; 2] = ["operator.proto", "peer.proto"];
+const GENERATED_DIR: &str = "crates/wire/src/generated";
+const SCHEMA_DIR: &str = "crates/wire/proto";
 
-/// Messages that operators write as JSON.
-const DECLARED: [&str; 4] = ["Declaration", "Customer", "Model", "Service"];
+/// Messages that operators write as JSON, for which serde implementations are generated.
+const JSON_MESSAGES: [&str; 4] = ["Declaration", "Customer", "Model", "Service"];
 
-fn generate(folder: &Path) -> Result<(), Box<dyn Error>> {
-    let schemas = protox::compile(FILES, [SCHEMAS])?;
+fn generate(out_dir: &Path) -> Result<(), Box<dyn Error>> {
+    let schemas = protox::compile(SCHEMA_FILES, [SCHEMA_DIR])?;
     let mut builder = tonic_prost_build::configure()
-        .out_dir(folder)
+        .out_dir(out_dir)
         .emit_rerun_if_changed(false);
-    for message in DECLARED {
+    for message in JSON_MESSAGES {
         let path = format!("wellplank.operator.v1.{message}");
         builder = builder
             .type_attribute(&path, "#[derive(serde::Deserialize, serde::Serialize)]")
@@ -34,29 +33,32 @@
     Ok(())
 }
 
+/// Generates the code or checks it; returns whether the committed code is up to date.
 fn run() -> Result<bool, Box<dyn Error>> {
     if !std::env::args().any(|argument| argument == "--check") {
-        generate(Path::new(GENERATED))?;
+        generate(Path::new(GENERATED_DIR))?;
         return Ok(true);
     }
-    let folder = std::env::temp_dir().join(format!("wellplank-schema-{}", std::process::id()));
-    fs::create_dir_all(&folder)?;
-    generate(&folder)?;
-    let mut same = true;
-    for entry in fs::read_dir(&folder)? {
+    let out_dir = std::env::temp_dir().join(format!("wellplank-schema-{}", std::process::id()));
+    fs::create_dir_all(&out_dir)?;
+    generate(&out_dir)?;
+    let mut is_current = true;
+    for entry in fs::read_dir(&out_dir)? {
         let entry = entry?;
-        let committed = fs::read(Path::new(GENERATED).join(entry.file_name()))?;
-        same &= committed == fs::read(entry.path())?;
+        let committed = fs::read(Path::new(GENERATED_DIR).join(entry.file_name()))?;
+        is_current &= committed == fs::read(entry.path())?;
     }
-    fs::remove_dir_all(&folder)?;
-    Ok(same)
+    fs::remove_dir_all(&out_dir)?;
+    Ok(is_current)
 }
 
 fn main() -> ExitCode {
     match run() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("the committed code in {GENERATED} is not that of {SCHEMAS}");
+            eprintln!(
+                "the code in {GENERATED_DIR} is out of date with the schemas in {SCHEMA_DIR}; run `cargo run -p wellplank-schema`"
+            );
             ExitCode::FAILURE
         }
         Err(error) => {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,25 +1,25 @@
-//! Frames between instances: a length of four bytes, then one encoded `peer::Frame`.
+//! Framing between instances: a length of four bytes in big-endian order, then one encoded [`Frame`].
 
 use super::*;
 
-/// Longest frame in bytes; a longer one ends the connection.
+/// Maximum length of a frame; a longer one ends the connection.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Reads and writes frames.
+/// Decodes and encodes frames.
 #[derive(Debug)]
 pub struct Codec(LengthDelimitedCodec);
 
-/// Why a connection between instances ends.
+/// Error that ends a connection between instances.
 #[derive(Debug)]
 pub enum Error {
-    /// The bytes are no frame.
+    /// The bytes do not decode to a frame.
     Decode(prost::DecodeError),
-    /// The connection failed, or a frame was longer than [`MAX_FRAME_BYTES`].
+    /// The connection failed, or a frame exceeded [`MAX_FRAME_BYTES`].
     Io(io::Error),
 }
 
 impl Codec {
-    /// A codec for one connection.
+    /// Creates a codec for one connection.
     pub fn new() -> Self {
         Self(
             LengthDelimitedCodec::builder()
@@ -50,8 +50,8 @@
 impl Display for Error {
     fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
         match self {
-            Self::Decode(error) => write!(formatter, "not a frame: {error}"),
-            Self::Io(error) => write!(formatter, "peer connection: {error}"),
+            Self::Decode(error) => write!(formatter, "invalid peer frame: {error}"),
+            Self::Io(error) => write!(formatter, "peer connection failed: {error}"),
         }
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,18 +1,18 @@
-//! Schema files of wellplank, their generated code, and framing between its processes.
+//! Protobuf schemas of wellplank, the code generated from them, and the framing between instances.
 //!
-//! The code under `generated` is made from `proto/*.proto` by `cargo run -p wellplank-schema` and
-//! committed, so that a build needs no generator.
+//! `cargo run -p wellplank-schema` generates the code under `generated` from `proto/*.proto`. It is committed, so that builds need
+//! no generator.
 
 pub mod frame;
 pub mod name;
 
-/// Calls of operators, from `proto/operator.proto`.
+/// The operators' interface, from `proto/operator.proto`.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod operator {
     include!("generated/wellplank.operator.v1.rs");
 }
 
-/// Frames between instances, from `proto/peer.proto`.
+/// Messages between instances, from `proto/peer.proto`.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod peer {
     include!("generated/wellplank.peer.v1.rs");
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames between instances.
+//! Framing between instances.
 
 use {
     bytes::BytesMut,
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn frame_is_read_back_also_in_pieces() {
+fn frame_is_decoded_from_single_bytes() {
     let mut bytes = BytesMut::new();
     Codec::new().encode(heartbeat(), &mut bytes).unwrap();
     let mut codec = Codec::new();
@@ -39,13 +39,13 @@
 }
 
 #[gtest]
-fn frame_of_other_bytes_is_an_error() {
+fn undecodable_frame_is_an_error() {
     let mut source = BytesMut::from(&[0, 0, 0, 2, 0xff, 0xff][..]);
     expect_that!(Codec::new().decode(&mut source).is_err(), eq(true));
 }
 
 #[gtest]
-fn frame_above_the_limit_is_an_error() {
+fn frame_beyond_the_maximum_length_is_an_error() {
     let length = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     let mut source = BytesMut::from(&length[..]);
     expect_that!(Codec::new().decode(&mut source).is_err(), eq(true));
