--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,19 +1,18 @@
-//! A client of the operators' calls.
+//! Client of the operators' interface.
 
 use super::*;
 
-/// Time that a call may take.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client of one instance.
+/// Connection to one instance.
 pub struct Client {
     key: String,
     operator: OperatorClient<Channel>,
 }
 
 impl Client {
-    /// Replaces the declaration. The change has an identity of its own, so that a lost answer can
-    /// be settled.
+    /// Replaces the declaration. The change gets a random ID, which shows in the history after a lost reply whether it was accepted.
     pub async fn apply(
         &mut self,
         declaration: Declaration,
@@ -38,43 +37,47 @@
         Ok(reply)
     }
 
-    /// A client of the instance at `address`, as `127.0.0.1:8081`.
+    /// Connects to the instance at `address`, such as `127.0.0.1:8081`.
     pub async fn connect(address: &str, key: &str) -> Result<Self, Error> {
         let failed = |error| Error::Connect(address.to_owned(), error);
         let endpoint = Channel::from_shared(format!("http://{address}"))
             .map_err(|error| Error::File(address.into(), error.to_string()))?;
-        let channel = endpoint.timeout(PATIENCE).connect().await.map_err(failed)?;
+        let channel = endpoint
+            .timeout(CALL_TIMEOUT)
+            .connect()
+            .await
+            .map_err(failed)?;
         Ok(Self {
             key: key.to_owned(),
             operator: OperatorClient::new(channel),
         })
     }
 
-    /// The declaration in force.
+    /// Gets the declaration in force.
     pub async fn get(&mut self) -> Result<GetReply, Error> {
         let request = self.request(GetRequest {});
         Ok(self.operator.get(request).await?.into_inner())
     }
 
-    /// Stops the instance as planned.
+    /// Drains and stops the instance.
     pub async fn drain(&mut self) -> Result<(), Error> {
         let request = self.request(DrainRequest {});
         self.operator.drain(request).await?;
         Ok(())
     }
 
-    /// The last accepted changes.
+    /// Gets the most recently accepted changes, newest last.
     pub async fn history(&mut self) -> Result<HistoryReply, Error> {
         let request = self.request(HistoryRequest {});
         Ok(self.operator.history(request).await?.into_inner())
     }
 
-    /// State of the instance and the peers it heard of.
+    /// Gets the state of the instance, and of the peers from which it has received heartbeats.
     pub async fn status(&mut self) -> Result<StatusReply, Error> {
         self.status_of(false).await
     }
 
-    /// State of the instance and of every instance on the platform's list.
+    /// Gets the state of the instance, and has it query every instance on the platform's list.
     pub async fn status_everywhere(&mut self) -> Result<StatusReply, Error> {
         self.status_of(true).await
     }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,14 +1,14 @@
-//! The commands.
+//! Implementation of the commands.
 
 use super::*;
 
-/// Time that `apply --wait` waits.
-const WAIT: Duration = Duration::from_secs(13);
+/// Timeout of `apply --wait`.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(13);
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between two status polls of `apply --wait`.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs the command that the arguments name.
+/// Runs the given command.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<(), Error> {
     let Some((name, arguments)) = matches.subcommand() else {
         return Ok(());
@@ -31,8 +31,8 @@
         if name == "apply" {
             return apply(&mut client, declaration, arguments).await;
         }
-        let held = client.get().await?.declaration.unwrap_or_default();
-        for line in declaration::diff(&held, &declaration) {
+        let current = client.get().await?.declaration.unwrap_or_default();
+        for line in declaration::diff(&current, &declaration) {
             println!("{line}");
         }
         return Ok(());
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Prints the digest of the key on standard input; a line end after the key does not count.
+/// Prints the digest of the key on standard input, without its line ending.
 fn digest() -> Result<(), Error> {
     let mut key = String::new();
     std::io::stdin()
@@ -88,15 +88,15 @@
     }
     println!("revision {} accepted", reply.revision);
     if arguments.get_flag("wait") {
-        wait(client, reply.revision).await?;
+        wait_in_force(client, reply.revision).await?;
         println!("revision {} in force", reply.revision);
     }
     Ok(())
 }
 
-/// Waits until every live instance has a revision in force.
-async fn wait(client: &mut Client, revision: u64) -> Result<(), Error> {
-    let began = Instant::now();
+/// Waits until a revision is in force at every live instance.
+async fn wait_in_force(client: &mut Client, revision: u64) -> Result<(), Error> {
+    let started = Instant::now();
     loop {
         let status = client.status_everywhere().await?;
         let behind: Vec<String> = status
@@ -104,21 +104,21 @@
             .iter()
             .filter(|peer| peer.revision < revision)
             .map(|peer| {
-                let silent = if peer.reachable {
+                let suffix = if peer.reachable {
                     ""
                 } else {
                     " (does not answer)"
                 };
-                format!("{}{silent}", peer.name)
+                format!("{}{suffix}", peer.name)
             })
             .collect();
         if behind.is_empty() {
             return Ok(());
         }
-        if began.elapsed() > WAIT {
+        if started.elapsed() > WAIT_TIMEOUT {
             return Err(Error::NotInForce(behind));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -181,10 +181,10 @@
             ]
         })
         .collect();
-    let head = [
+    let header = [
         "upstream", "pool", "health", "leaving", "attempts", "running", "slots",
     ];
-    println!("{}\n", table::table(&head, &upstreams));
+    println!("{}\n", table::table(&header, &upstreams));
     let counters: Vec<Vec<String>> = status
         .counters
         .iter()
--- a/crates/ctl/src/declaration.rs
+++ b/crates/ctl/src/declaration.rs
@@ -1,8 +1,8 @@
-//! Reading declarations from files that live in version control, and comparing them.
+//! Reading declarations from files, which are meant to be under version control, and comparing them.
 
 use super::*;
 
-/// Reads a file, or all `.json` files of a folder in the order of their names, as one declaration.
+/// Reads a file as a declaration, or merges all `.json` files of a directory in the order of their names.
 pub fn read(path: &Path) -> Result<Declaration, Error> {
     if !path.is_dir() {
         return read_file(path);
@@ -19,16 +19,16 @@
     files.sort();
     files
         .iter()
-        .try_fold(Declaration::default(), |mut whole, file| {
+        .try_fold(Declaration::default(), |mut merged, file| {
             let part = read_file(file)?;
-            whole.customers.extend(part.customers);
-            whole.models.extend(part.models);
-            whole.services.extend(part.services);
-            Ok(whole)
+            merged.customers.extend(part.customers);
+            merged.models.extend(part.models);
+            merged.services.extend(part.services);
+            Ok(merged)
         })
 }
 
-/// Lines that say what is added, changed and removed from `old` to `new`.
+/// Describes the changes from `old` to `new`, a line each: `+` for an added entry, `~` for a changed and `-` for a removed one.
 pub fn diff(old: &Declaration, new: &Declaration) -> Vec<String> {
     let mut lines = Vec::new();
     compare(
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,32 +1,32 @@
-//! Errors of the operators' command line and its exit codes.
+//! Errors of the command line, and their exit codes.
 
 use super::*;
 
-/// Exit code for wrong arguments, files or declarations.
+/// Exit code for invalid arguments, files or declarations.
 const EXIT_USAGE: u8 = 2;
 
-/// Exit code for a change that another one came before.
+/// Exit code for a change that was rejected because of a concurrent one.
 const EXIT_CONFLICT: u8 = 3;
 
-/// Exit code for a change accepted but not in force everywhere in time.
+/// Exit code for a change that was accepted, but was not in force everywhere before the timeout.
 const EXIT_NOT_IN_FORCE: u8 = 4;
 
-/// What can go wrong.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum Error {
-    /// The instance refused or did not answer.
+    /// The instance returned an error, or did not reply.
     Call(Box<tonic::Status>),
-    /// Another change came first; the revision in force.
+    /// A concurrent change was accepted first; the revision in force.
     Conflict(u64),
-    /// The instance can not be reached.
+    /// The connection to the instance failed; its address and the cause.
     Connect(String, tonic::transport::Error),
-    /// The declaration has faults.
+    /// The declaration is invalid.
     Faults(Vec<schema::Fault>),
-    /// A file is no declaration.
+    /// A file could not be read as a declaration; its path and the cause.
     File(PathBuf, String),
-    /// The runtime could not be started.
+    /// The async runtime could not be started.
     Runtime(std::io::Error),
-    /// Instances that do not have the revision in force yet.
+    /// The revision is not yet in force everywhere; the instances where it is not.
     NotInForce(Vec<String>),
 }
 
@@ -49,21 +49,23 @@
             Self::Conflict(revision) => {
                 write!(
                     formatter,
-                    "revision {revision} is in force; look at it and apply again"
+                    "revision {revision} is in force; review it and apply again"
                 )
             }
-            Self::Connect(address, error) => write!(formatter, "can not reach {address}: {error}"),
+            Self::Connect(address, error) => {
+                write!(formatter, "failed to connect to {address}: {error}")
+            }
             Self::Faults(faults) => {
-                write!(formatter, "{} faults in the declaration", faults.len())?;
+                write!(formatter, "declaration has {} faults", faults.len())?;
                 faults
                     .iter()
                     .try_for_each(|fault| write!(formatter, "\n  {}: {}", fault.place, fault.text))
             }
             Self::File(path, text) => write!(formatter, "{}: {text}", path.display()),
-            Self::Runtime(error) => write!(formatter, "can not start the runtime: {error}"),
+            Self::Runtime(error) => write!(formatter, "failed to start the async runtime: {error}"),
             Self::NotInForce(names) => write!(
                 formatter,
-                "accepted, but not yet in force at {}",
+                "change accepted, but not yet in force at {}",
                 names.join(", ")
             ),
         }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command line of wellplank.
+//! Command line of wellplank for operators, and the client behind it.
 
 pub mod client;
 pub mod declaration;
@@ -28,7 +28,7 @@
     },
 };
 
-/// Runs the command that the arguments name.
+/// Parses the arguments and runs their command, with errors on standard error.
 pub fn run() -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary `wellplankctl`: the operators' command line.
+//! The binary `wellplankctl`, the command line for operators.
 
 fn main() -> std::process::ExitCode {
     wellplank_ctl::run()
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,12 +1,12 @@
-//! Tables of plain text.
+//! Plain-text tables.
 
-/// Rows under a head, in columns as wide as their widest cell.
-pub(crate) fn table(head: &[&str], rows: &[Vec<String>]) -> String {
+/// Formats rows under a header, with columns as wide as their widest cell.
+pub(crate) fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].len());
-        cells.chain([head[column].len()]).max().unwrap_or(0)
+        cells.chain([header[column].len()]).max().unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..head.len()).map(width).collect();
+    let widths: Vec<usize> = (0..header.len()).map(width).collect();
     let line = |cells: Vec<&str>| {
         let padded: Vec<String> = cells
             .iter()
@@ -15,7 +15,7 @@
             .collect();
         padded.join("  ").trim_end().to_owned()
     };
-    let mut lines = vec![line(head.to_vec())];
+    let mut lines = vec![line(header.to_vec())];
     lines.extend(
         rows.iter()
             .map(|row| line(row.iter().map(String::as_str).collect())),
--- a/crates/ctl/tests/command.rs
+++ b/crates/ctl/tests/command.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, without an instance.
+//! Tests of the command line that need no running instance.
 
 use {
     googletest::prelude::*,
@@ -10,7 +10,7 @@
     wellplank_wire::operator::Declaration,
 };
 
-/// One run of the command: arguments, standard input, and what comes of it.
+/// One run of the command.
 struct Test {
     arguments: Vec<String>,
     input: &'static str,
@@ -29,7 +29,7 @@
         self
     }
 
-    /// Exit code, standard output and standard error.
+    /// Returns exit code, standard output and standard error.
     fn run(self) -> (Option<i32>, String, String) {
         let mut child = Command::new(env!("CARGO_BIN_EXE_wellplankctl"))
             .args(self.arguments)
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn digest_is_that_of_the_key_without_its_line_end() {
+fn digest_ignores_the_line_ending_of_the_key() {
     let (code, output, _) = Test::arguments(&["digest"]).input("archive-key\n").run();
     expect_that!(code, some(eq(0)));
     expect_that!(
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn file_with_foreign_field_is_refused_with_its_place() {
+fn file_with_unknown_field_is_refused_with_its_line() {
     let path = std::env::temp_dir().join(format!("wellplank-ctl-{}.json", std::process::id()));
     std::fs::write(&path, "{\n  \"modles\": []\n}").unwrap();
     let file = path.to_str().unwrap();
@@ -80,21 +80,24 @@
 }
 
 #[gtest]
-fn instance_that_does_not_answer_is_an_error() {
+fn failed_connection_is_an_error() {
     let arguments = ["--address", "127.0.0.1:1", "status"];
     let (code, _, error) = Test::arguments(&arguments).run();
     expect_that!(code, some(eq(1)));
-    expect_that!(error, contains_substring("can not reach 127.0.0.1:1"));
+    expect_that!(
+        error,
+        contains_substring("failed to connect to 127.0.0.1:1")
+    );
 }
 
 #[gtest]
-fn example_has_no_fault() {
+fn example_is_a_valid_declaration() {
     let declaration = declaration::read(example().as_ref()).unwrap();
     expect_that!(declaration.services.len(), eq(4));
 }
 
 #[gtest]
-fn difference_names_what_is_added_changed_and_removed() {
+fn diff_lists_added_changed_and_removed_entries() {
     let old = declaration::read(example().as_ref()).unwrap();
     let mut new = old.clone();
     new.services.remove(0);
