--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -12,7 +12,7 @@
 }
 
 impl Client {
-    /// Replaces the declaration. The change gets a random ID, which shows in the history after a lost reply whether it was accepted.
+    /// Replaces the declaration. The change gets a random ID, by which its outcome can be determined if the reply is lost.
     pub async fn apply(
         &mut self,
         declaration: Declaration,
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Prints the digest of the key on standard input, without its line ending.
+/// Prints the digest of the key that is read from standard input; its line ending is ignored.
 fn digest() -> Result<(), Error> {
     let mut key = String::new();
     std::io::stdin()
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -5,7 +5,7 @@
 /// Exit code for invalid arguments, files or declarations.
 const EXIT_USAGE: u8 = 2;
 
-/// Exit code for a change that was rejected because of a concurrent one.
+/// Exit code for a change that was rejected because another one was accepted first.
 const EXIT_CONFLICT: u8 = 3;
 
 /// Exit code for a change that was accepted, but was not in force everywhere before the timeout.
@@ -16,7 +16,7 @@
 pub enum Error {
     /// The instance returned an error, or did not reply.
     Call(Box<tonic::Status>),
-    /// A concurrent change was accepted first; the revision in force.
+    /// Another change was accepted first; the revision in force.
     Conflict(u64),
     /// The connection to the instance failed; its address and the cause.
     Connect(String, tonic::transport::Error),
