--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,54 +1,54 @@
-//! The state of an instance and the one way into it.
+//! State of an instance and its single entry point, [`Core::handle`].
 
 use super::*;
 
-/// Name of the pool that the entry instances themselves have in the platform's list.
+/// Pool name under which the instances themselves are registered in the platform's list.
 pub const INSTANCE_POOL: &str = "wellplank";
 
-/// Permits that a retry budget holds when full.
-const BUDGET: f64 = 20.0;
+/// Maximum number of permits in a budget for retries or hedges.
+const BUDGET_PERMITS: f64 = 20.0;
 
-/// Permits that a retry budget gains a second without work.
-const BUDGET_REFILL: f64 = 1.0;
+/// Permits that a budget gains per second when there is no traffic.
+const BUDGET_REFILL_PER_SECOND: f64 = 1.0;
 
-/// Weight of a new sample in the mean duration of requests.
-const DURATION_GAIN: f64 = 0.05;
+/// Weight of a new sample in the moving average of request durations.
+const DURATION_SMOOTHING: f64 = 0.05;
 
-/// Mean duration assumed before the first request has ended, in milliseconds.
-const DURATION_START: f64 = 1_000.0;
+/// Mean request duration assumed until the first request has ended, in milliseconds.
+const INITIAL_DURATION_MS: f64 = 1_000.0;
 
-/// Upstreams of one pool and the work that waits for them.
+/// Upstreams of one pool and the requests queued for them.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
-    /// What all instances ask of it.
-    pub demands: Demands,
-    /// Running mean of the time from sending to the end, in milliseconds.
-    pub duration: f64,
-    /// Paces of its upstreams, and how long they have had no room.
-    pub gauge: Gauge,
-    /// Work that waits.
+    /// Demand of all instances.
+    pub demands: DemandTracker,
+    /// Speed of its upstreams, and how long they have had no free capacity.
+    pub estimates: PoolEstimates,
+    /// Moving average of the time from sending a request to its end, in milliseconds.
+    pub mean_duration_ms: f64,
+    /// Queued requests.
     pub queue: Queue,
-    /// Requests that may be sent a second time.
-    pub retries: Budget,
-    /// Tokens of a request, in the mean.
-    pub tokens: gauge::Mean,
+    /// Budget for retries.
+    pub retry_budget: Budget,
+    /// Mean number of tokens of a request.
+    pub tokens: estimates::Mean,
     /// Its upstreams.
     pub upstreams: Vec<upstream::Key>,
-    /// Version of its upstreams that is in force; `None` before there was one.
+    /// Version that its upstreams must have to receive requests; `None` until there is one.
     pub version: Option<Arc<str>>,
-    /// Relayed calls that may be under way at once.
+    /// Limit of concurrent relayed calls.
     pub window: Window,
 }
 
 impl Default for Pool {
     fn default() -> Self {
         Self {
-            demands: Demands::default(),
-            duration: DURATION_START,
-            gauge: Gauge::default(),
+            demands: DemandTracker::default(),
+            estimates: PoolEstimates::default(),
+            mean_duration_ms: INITIAL_DURATION_MS,
             queue: Queue::default(),
-            retries: Budget::new(BUDGET, BUDGET_REFILL, Time::default()),
-            tokens: gauge::Mean::default(),
+            retry_budget: Budget::new(BUDGET_PERMITS, BUDGET_REFILL_PER_SECOND, Time::default()),
+            tokens: estimates::Mean::default(),
             upstreams: Vec::new(),
             version: None,
             window: Window::default(),
@@ -56,61 +56,61 @@
     }
 }
 
-/// A request that waits until this instance knows enough after its start.
+/// A request that arrived before this instance had the state that serving it takes.
 #[derive(Clone, Debug)]
-pub(crate) struct Early {
-    /// When it came.
-    pub came: Time,
+pub(crate) struct DeferredRequest {
+    /// When it arrived.
+    pub arrived_at: Time,
     /// The request.
     pub submission: event::Submission,
-    /// Until when it waits.
+    /// Time until which it is deferred.
     pub until: Time,
 }
 
-/// The state of an instance: everything its decisions rest on.
+/// State of an instance; all decisions depend only on it and on the event at hand.
 pub struct Core {
     pub(crate) attempts: SlotMap<attempt::Key, Attempt>,
     pub(crate) callers: HashMap<request::Caller, request::Key>,
+    pub(crate) claim_retries: Vec<(Time, request::Key)>,
     pub(crate) config: Option<Arc<Config>>,
-    /// Data centre that this instance stands in; empty if it does not matter.
+    /// Data centre that this instance runs in; empty if there is no preference.
     pub(crate) data_centre: Arc<str>,
-    /// Requests that came before there was a configuration, and until when each waits for one.
-    pub(crate) early: Vec<Early>,
+    /// Requests that arrived before this instance had the state to serve them.
+    pub(crate) deferred: Vec<DeferredRequest>,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) hedges: Budget,
-    pub(crate) held: u64,
+    pub(crate) hedge_budget: Budget,
+    pub(crate) held_bytes: u64,
     pub(crate) instances: u32,
-    pub(crate) identity: u64,
-    /// Upstreams by their lives; of each name at most one.
-    pub(crate) lives: sighting::Lives,
+    /// When the list of upstreams was last read from the store; `None` before the first read.
+    pub(crate) list_read_at: Option<Time>,
+    /// Time until which the list counts as stale, after a pause of this process.
+    pub(crate) list_stale_until: Time,
+    /// Upstreams by incarnation; at most one of each name.
+    pub(crate) lives: sighting::UpstreamsByIncarnation,
+    /// Timeouts of the callers of each service.
+    pub(crate) longest_timeouts: HashMap<String, timeout::LongestTimeout>,
     pub(crate) members: Members,
     pub(crate) now: Time,
-    /// How long callers of each service wait.
-    pub(crate) patiences: HashMap<String, patience::Longest>,
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
-    /// When the store last showed the list of upstreams; `None` before it was read.
-    pub(crate) listed: Option<Time>,
-    /// Whether the streams that were kept before its start are known.
-    pub(crate) recalled: bool,
-    pub(crate) reclaims: Vec<(Time, request::Key)>,
     pub(crate) requests: SlotMap<request::Key, Request>,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) rotation: usize,
     pub(crate) running: HashMap<String, u32>,
     pub(crate) secret: cursor::Secret,
+    pub(crate) seed: u64,
     pub(crate) settings: Settings,
-    /// Streams that other instances told of.
+    /// Streams that other instances reported.
     pub(crate) sightings: sighting::Sightings,
-    /// What upstreams said of themselves that are listed no more.
-    pub(crate) standings: notice::Standings,
-    /// Until when the list is not trusted, since this instance was paused.
-    pub(crate) stale_until: Time,
-    /// What is believed of requests that end their upstreams.
-    pub(crate) suspicion: Suspicion,
-    pub(crate) swept: Time,
+    /// Notices of upstreams that are no longer listed.
+    pub(crate) retained_states: notice::RetainedStates,
+    /// Whether all streams that were stored before its start have been reported.
+    pub(crate) streams_restored: bool,
+    /// Evidence against requests that crash their upstreams.
+    pub(crate) crash_suspects: CrashSuspects,
+    pub(crate) swept_at: Time,
     pub(crate) upstreams: SlotMap<upstream::Key, Upstream>,
-    /// When it last woke from a pause.
-    pub(crate) woken: Time,
+    /// When this process last resumed after a pause.
+    pub(crate) woken_at: Time,
 }
 
 impl Core {
@@ -119,149 +119,153 @@
         self.config.as_ref().map(|config| config.revision)
     }
 
-    /// Count of requests accepted and not yet answered.
+    /// Number of requests that were admitted or deferred and not yet answered.
     pub fn running(&self) -> usize {
-        self.requests.len() + self.early.len()
+        self.requests.len() + self.deferred.len()
     }
 
-    /// Upstreams known.
+    /// All known upstreams.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// Takes in one event and answers with what is to be done.
+    /// Handles one event and returns the effects to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
         self.sightings.advance(self.now);
         if gap > self.settings.pause_ms {
-            self.wake(gap);
+            self.resume_after_pause(gap);
         }
         match event {
-            Event::Answered { attempt, verdict } => self.answered(attempt, verdict),
-            Event::Blamed(life) => self.blamed(life),
-            Event::CallerGone(caller) => self.caller_gone(caller),
-            Event::Carried { attempt, load } => self.carried(attempt, load),
-            Event::Checked { ended, life } => self.checked(life, ended),
-            Event::Claimed { request, outcome } => self.claimed(request, outcome),
-            Event::Closed { attempt, marked } => self.closed(attempt, marked),
-            Event::Config(config) => self.adopt(config),
-            Event::Crashed(account) => self.crashed(&account),
-            Event::Departing(life) => self.departing(life),
-            Event::Demanded { demand, from } => self.demanded(from, &demand),
-            Event::Failed { attempt, failure } => self.failed(attempt, failure),
-            Event::Finished {
+            Event::Answered { attempt, verdict } => self.handle_response(attempt, verdict),
+            Event::CallerGone(caller) => self.handle_caller_gone(caller),
+            Event::Claimed { outcome, request } => self.handle_claim_outcome(request, outcome),
+            Event::Config(config) => self.apply_config(config),
+            Event::CrashChecked { ended, life } => self.apply_crash_check(life, ended),
+            Event::CrashReported(account) => self.merge_crashes(&account),
+            Event::Failed { attempt, failure } => self.handle_failure(attempt, failure),
+            Event::GenerationFinished {
                 attempt,
                 position,
                 reason,
-            } => self.finished(attempt, position, reason),
-            Event::Instances(view) => self.see_members(view),
-            Event::Leaving(name) => self.hint_leaving(&name),
-            Event::List { asked, listed } => self.list(asked, listed.as_deref()),
-            Event::Limited { life, rate } => self.limit_told(life, rate),
-            Event::Load { upstream, load } => self.report(upstream, load),
-            Event::Noticed {
+            } => self.handle_finished(attempt, position, reason),
+            Event::Instances(view) => self.update_members(view),
+            Event::Leaving(name) => self.apply_leaving_hint(&name),
+            Event::List {
+                entries,
+                requested_at,
+            } => self.apply_list(requested_at, entries.as_deref()),
+            Event::Load { load, upstream } => self.apply_load_report(upstream, load),
+            Event::NoticeReceived {
                 attempt,
                 notice,
                 upstream,
-            } => self.noticed(upstream, attempt, &notice),
-            Event::Opened(attempt) => self.opened(attempt),
-            Event::Paced(pace) => self.paced(&pace),
-            Event::Passed {
-                attempt,
-                bytes,
-                position,
-            } => self.passed(attempt, position, bytes),
-            Event::Probed { upstream, alive } => self.probed(upstream, alive),
-            Event::Recalled => self.recalled(),
+            } => self.apply_notice(upstream, attempt, &notice),
+            Event::PeerDemand { demand, from } => self.record_peer_demand(from, &demand),
+            Event::PeerLeaving(life) => self.apply_peer_leaving(life),
+            Event::PeerLimit { life, rate } => self.apply_peer_limit(life, rate),
+            Event::PeerLoss(life) => self.record_peer_loss(life),
+            Event::PeerPace(pace) => self.record_peer_pace(&pace),
+            Event::PeerStream(sighting) => self.record_peer_stream(sighting),
+            Event::PiggybackedLoad { attempt, load } => self.apply_piggybacked_load(attempt, load),
+            Event::Probed { alive, upstream } => self.apply_probe_result(upstream, alive),
             Event::Replied {
                 attempt,
                 body,
                 status,
-            } => self.replied(attempt, status, body),
-            Event::Sighted(sighting) => self.sighted(sighting),
+            } => self.handle_reply(attempt, status, body),
+            Event::StreamEnded { attempt, marked } => self.handle_stream_end(attempt, marked),
+            Event::StreamEvent {
+                attempt,
+                bytes,
+                position,
+            } => self.handle_stream_event(attempt, position, bytes),
+            Event::StreamOpened(attempt) => self.handle_stream_opened(attempt),
+            Event::StreamsRestored => self.streams_restored(),
             Event::Submit(submission) => self.submit(*submission),
             Event::Tick => self.tick(),
             Event::Tokens {
                 attempt,
-                pieces,
                 position,
-            } => self.tokens(attempt, position, pieces),
+                tokens,
+            } => self.handle_tokens(attempt, position, tokens),
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// An instance that knows no configuration and no upstream. `seed` feeds its random choices and
-    /// ranks the upstreams that it works with.
+    /// Creates an instance without configuration and upstreams. `seed` initializes its random
+    /// number generator and ranks the upstreams that it works with.
     pub fn new(settings: Settings, secret: cursor::Secret, seed: u64, now: Time) -> Self {
         Self {
             attempts: SlotMap::with_key(),
             callers: HashMap::new(),
+            claim_retries: Vec::new(),
             config: None,
             data_centre: Arc::from(""),
-            early: Vec::new(),
+            deferred: Vec::new(),
             effects: Vec::new(),
-            hedges: Budget::new(BUDGET, BUDGET_REFILL, now),
-            held: 0,
-            identity: seed,
+            hedge_budget: Budget::new(BUDGET_PERMITS, BUDGET_REFILL_PER_SECOND, now),
+            held_bytes: 0,
             instances: 1,
-            listed: None,
+            list_read_at: None,
+            list_stale_until: Time::default(),
             lives: BTreeMap::new(),
+            longest_timeouts: HashMap::new(),
             members: Members::default(),
             now,
-            patiences: HashMap::new(),
             pools: BTreeMap::new(),
-            recalled: true,
-            reclaims: Vec::new(),
             requests: SlotMap::with_key(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             rotation: 0,
             running: HashMap::new(),
             secret,
+            seed,
             settings,
             sightings: sighting::Sightings::default(),
-            stale_until: Time::default(),
-            standings: notice::Standings::default(),
-            suspicion: Suspicion::default(),
-            swept: now,
+            retained_states: notice::RetainedStates::default(),
+            streams_restored: true,
+            crash_suspects: CrashSuspects::default(),
+            swept_at: now,
             upstreams: SlotMap::with_key(),
-            woken: Time::default(),
+            woken_at: Time::default(),
         }
     }
 
-    /// Takes other settings from now on.
+    /// Replaces the settings.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// The same instance, standing in a data centre: it prefers upstreams that stand there too.
+    /// Sets the data centre of the instance; it prefers upstreams of the same one.
     #[must_use]
-    pub fn standing_in(mut self, data_centre: &str) -> Self {
+    pub fn in_data_centre(mut self, data_centre: &str) -> Self {
         self.data_centre = data_centre.into();
         self
     }
 
-    /// The same instance, which is still to be told of streams that were kept before its start, and then that
-    /// these are all.
+    /// Makes the instance wait for [`Event::StreamsRestored`] before it resumes streams: those
+    /// stored before its start are yet to be reported.
     #[must_use]
-    pub fn recalling(mut self) -> Self {
-        self.recalled = false;
+    pub fn restoring_streams(mut self) -> Self {
+        self.streams_restored = false;
         self
     }
 
-    fn adopt(&mut self, config: Arc<Config>) {
+    fn apply_config(&mut self, config: Arc<Config>) {
         let current = self.revision().unwrap_or(0);
         if config.revision > current || self.config.is_none() {
             self.config = Some(config);
-            self.settle_addresses();
-            self.submit_early();
+            self.resolve_address_conflicts();
+            self.submit_deferred();
         }
         let after = self.revision().unwrap_or(0);
-        self.check(after >= current, Invariant::NeverReverts);
+        self.check_invariant(after >= current, Invariant::NeverReverts);
     }
 
-    /// Whether `holds`; a broken invariant is counted, and panics in builds with debug assertions.
-    pub(crate) fn check(&mut self, holds: bool, invariant: Invariant) -> bool {
+    /// Returns `holds`. A violated invariant is counted, and panics if debug assertions are
+    /// enabled.
+    pub(crate) fn check_invariant(&mut self, holds: bool, invariant: Invariant) -> bool {
         if !holds {
             self.count(Counter::Invariant(invariant));
             debug_assert!(holds, "invariant broken: {invariant}");
@@ -273,24 +277,24 @@
         self.effects.push(Effect::Count(counter, 1));
     }
 
-    pub(crate) fn note(
+    pub(crate) fn log_step(
         &mut self,
         request: &Request,
-        what: effect::What,
+        step: effect::Step,
         upstream: Option<upstream::Key>,
     ) {
-        let note = self.noted(request, what, upstream);
-        self.effects.push(note);
+        let entry = self.log_effect(request, step, upstream);
+        self.effects.push(entry);
     }
 
-    pub(crate) fn noted(
+    pub(crate) fn log_effect(
         &self,
         request: &Request,
-        what: effect::What,
+        step: effect::Step,
         upstream: Option<upstream::Key>,
     ) -> Effect {
         let upstream = upstream.and_then(|key| self.upstreams.get(key));
-        Effect::Note(effect::Note {
+        Effect::LogRequest(effect::RequestLog {
             customer: request.customer.clone(),
             generation: request.generation,
             position: request.position(),
@@ -298,16 +302,16 @@
             run: request.work.relay().map(|relay| relay.run.clone()),
             service: request.service.clone(),
             upstream: upstream.map(|upstream| upstream.name.clone()),
-            what,
+            step,
         })
     }
 
-    /// Takes a request out of the state; every request leaves through here, once.
+    /// Removes a request from the state; every request passes through here exactly once.
     pub(crate) fn remove(&mut self, key: request::Key) -> Option<Request> {
         let request = self.requests.remove(key)?;
         let unanswered = self.callers.remove(&request.caller) == Some(key);
-        self.check(unanswered, Invariant::AnsweredTwice);
-        self.held -= request.held;
+        self.check_invariant(unanswered, Invariant::AnsweredTwice);
+        self.held_bytes -= request.held_bytes;
         let customer = &request.customer.name;
         if let Some(running) = self.running.get_mut(customer) {
             *running -= 1;
@@ -320,12 +324,12 @@
                 pool.queue
                     .remove(request.service.priority, &request.customer, key);
             }
-            if request.counted {
-                pool.queue.ended(&request.customer);
+            if request.counts_as_running {
+                pool.queue.finish(&request.customer);
             }
-            if let Some(sent) = request.sent {
-                let duration = self.now.since(sent) as f64;
-                pool.duration += DURATION_GAIN * (duration - pool.duration);
+            if let Some(first_sent_at) = request.first_sent_at {
+                let duration = self.now.since(first_sent_at) as f64;
+                pool.mean_duration_ms += DURATION_SMOOTHING * (duration - pool.mean_duration_ms);
             }
         }
         Some(request)
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! Sending: from the queue over the claim to an upstream.
+//! Dispatch of requests: from the queue, through the claim of the idempotency key, to an upstream.
 
 use super::*;
 
 impl Core {
-    /// Lets a new request wait for an upstream, or re-attaches it to its stream.
+    /// Queues a request for an upstream, or re-attaches it to its running stream.
     pub(crate) fn enqueue(&mut self, key: request::Key) {
         if self.attach(key) {
             return;
@@ -12,41 +12,46 @@
         request.state = State::Queued;
         let pool: Arc<str> = request.service.pool().into();
         let queue = &mut self.pools.entry(pool.clone()).or_default().queue;
-        if request.number > 0 || request.position() > 0 {
+        if request.last_attempt > 0 || request.position() > 0 {
             request.send_by = self.now.after(request.service.max_wait_ms);
             queue.push_resume(key);
         } else {
             queue.push(request.service.priority, &request.customer, key, self.now);
         }
-        self.pump(&pool);
-        self.waits(key);
+        self.dispatch_queued(&pool);
+        self.handle_no_capacity(key);
     }
 
-    /// Notes that a relayed request found no room, if it waits. One that is known to find none in time is given up on.
-    fn waits(&mut self, key: request::Key) {
+    /// Records a lack of capacity if a relayed request is still queued, and fails a request that is
+    /// known not to find capacity in time.
+    fn handle_no_capacity(&mut self, key: request::Key) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
         if request.state != State::Queued {
             return;
         }
-        if self.is_outlasted(request, 0) {
+        if self.is_bound_to_expire(request, 0) {
             self.give_up(key, Kind::Overloaded, Kind::UpstreamFailed);
             return;
         }
         if request.work.relay().is_none() {
             return;
         }
-        let until = self.may_wait_until(request);
+        let send_by = self.queue_deadline(request);
         let request = &mut self.requests[key];
-        request.send_by = until;
+        request.send_by = send_by;
         let pool: Arc<str> = request.service.pool().into();
-        self.pools.entry(pool).or_default().gauge.short(self.now);
-        self.tell_waiting(key);
+        self.pools
+            .entry(pool)
+            .or_default()
+            .estimates
+            .record_shortage(self.now);
+        self.gossip_waiting(key);
     }
 
-    /// Sends what waits in a pool, as far as upstreams have room.
-    pub(crate) fn pump(&mut self, name: &str) {
+    /// Sends the queued requests of a pool for as long as upstreams have capacity.
+    pub(crate) fn dispatch_queued(&mut self, name: &str) {
         loop {
             let Some(pool) = self.pools.get_mut(name) else {
                 return;
@@ -55,23 +60,23 @@
                 return;
             };
             let key = waiting.request;
-            if self.is_guilty(self.requests[key].print) {
-                self.refuse_guilty(key);
+            if self.is_quarantined(self.requests[key].print) {
+                self.refuse_quarantined(key);
                 continue;
             }
-            let Some(upstream) = self.choose(key, waiting.resume) else {
+            let Some(upstream) = self.choose_upstream(key, waiting.is_resume) else {
                 return;
             };
             if let Some(pool) = self.pools.get_mut(name) {
                 pool.queue.pop(self.now);
-                self.requests[key].counted |= !waiting.resume;
+                self.requests[key].counts_as_running |= !waiting.is_resume;
             }
-            self.start(key, upstream);
+            self.start_attempt(key, upstream);
         }
     }
 
-    /// Settles a claim.
-    pub(crate) fn claimed(&mut self, key: request::Key, outcome: event::ClaimOutcome) {
+    /// Handles the outcome of a claim.
+    pub(crate) fn handle_claim_outcome(&mut self, key: request::Key, outcome: event::ClaimOutcome) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -82,43 +87,43 @@
         match outcome {
             event::ClaimOutcome::Claimed => {
                 request.claim = None;
-                if self.claim_holds(key, &claim) {
+                if self.is_claim_valid(key, &claim) {
                     self.send_claimed(key);
                 } else {
                     self.give_up(key, Kind::BadKey, Kind::Unknown);
                 }
             }
             event::ClaimOutcome::Taken(upstream) if request.may_have_run => {
-                self.follow(key, upstream);
+                self.follow_peer(key, upstream);
             }
             event::ClaimOutcome::Taken(fingerprint) if fingerprint == claim.fingerprint => {
                 self.fail(key, Kind::AlreadyClaimed);
             }
             event::ClaimOutcome::Taken(_) => self.fail(key, Kind::KeyReused),
             event::ClaimOutcome::Unavailable if request.may_have_run => {
-                let again = self.now.after(self.settings.claim_retry_ms);
-                self.reclaims.push((again, key));
+                let retry_at = self.now.after(self.settings.claim_retry_ms);
+                self.claim_retries.push((retry_at, key));
             }
             event::ClaimOutcome::Unavailable => self.fail(key, Kind::PlatformDown),
         }
     }
 
-    /// Whether a claim that was just settled is surely still kept: a caller's key is not too old, and
-    /// a continuation's claim was asked for less than the retention ago.
-    fn claim_holds(&self, key: request::Key, claim: &Claim) -> bool {
+    /// Whether a claim that was just settled is certain to be still stored: a caller's key must not
+    /// be too old, and a continuation's claim must have been requested within the retention period.
+    fn is_claim_valid(&self, key: request::Key, claim: &Claim) -> bool {
         let request = &self.requests[key];
         if !request.may_have_run {
-            return claim.in_time(self.now, &self.settings);
+            return claim.is_current(self.now, &self.settings);
         }
-        self.now.since(request.claim_asked) <= self.settings.key_age_max_ms
+        self.now.since(request.claim_requested_at) <= self.settings.key_age_max_ms
     }
 
-    /// Asks once more for the claims of continuations that the platform did not settle.
-    pub(crate) fn reclaim(&mut self) {
+    /// Retries the claims of continuations whose outcome the platform left unknown.
+    pub(crate) fn retry_claims(&mut self) {
         let now = self.now;
         let due: Vec<request::Key> = self
-            .reclaims
-            .extract_if(.., |(again, _)| *again <= now)
+            .claim_retries
+            .extract_if(.., |(retry_at, _)| *retry_at <= now)
             .map(|(_, key)| key)
             .collect();
         for request in due {
@@ -128,36 +133,36 @@
         }
     }
 
-    /// Starts a second attempt of a generation whose stream is suspected.
+    /// Hedges a generation whose stream may have stalled with a second attempt.
     pub(crate) fn hedge(&mut self, key: request::Key) {
         let request = &self.requests[key];
         let allowed = request.service.policy == Policy::Latency
             && request.service.repeatable
             && self.settings.continuation
-            && !self.is_suspect(request.print)
+            && !self.is_crash_suspect(request.print)
             && request.attempts.len() == 1
-            && request.number < self.settings.attempts_max
+            && request.last_attempt < self.settings.attempts_max
             && request.skip <= request.position()
             && matches!(request.work, Work::Generate { .. });
         if !allowed {
             return;
         }
-        let Some(upstream) = self.choose(key, true) else {
+        let Some(upstream) = self.choose_upstream(key, true) else {
             return;
         };
-        self.hedges
+        self.hedge_budget
             .share(self.instances, self.settings.shared.least);
-        if !self.hedges.spend(self.now) {
+        if !self.hedge_budget.spend(self.now) {
             return;
         }
         self.count(Counter::Hedged);
-        let attempt = self.open(key, upstream);
-        self.send(attempt);
+        let attempt = self.open_attempt(key, upstream);
+        self.send_attempt(attempt);
     }
 
-    /// Re-attaches a request that came with a cursor; false if there is none.
+    /// Re-attaches a request that has a cursor to its stream; returns false if it has none.
     fn attach(&mut self, key: request::Key) -> bool {
-        let Some(cursor) = self.requests[key].attach.take() else {
+        let Some(cursor) = self.requests[key].resume_cursor.take() else {
             return false;
         };
         self.count(Counter::Resumed(counter::Reason::Caller));
@@ -167,7 +172,8 @@
         true
     }
 
-    /// Asks an upstream for the stream of an attempt; false if the upstream is gone.
+    /// Re-attaches a request to the stream of an attempt at an upstream; returns false if the
+    /// upstream is gone.
     fn attach_to(&mut self, key: request::Key, upstream: u64, number: u32) -> bool {
         let found = self
             .upstreams
@@ -179,17 +185,17 @@
         };
         let request = &mut self.requests[key];
         request.state = State::Running;
-        request.number = number - 1;
+        request.last_attempt = number - 1;
         let position = request.position();
         let generation = request.generation;
-        let attempt = self.open(key, upstream);
+        let attempt = self.open_attempt(key, upstream);
         self.attempts[attempt].sent = true;
-        let note = self.noted(&self.requests[key], effect::What::Attached, Some(upstream));
-        self.effects.push(note);
+        let entry = self.log_effect(&self.requests[key], effect::Step::Attached, Some(upstream));
+        self.effects.push(entry);
         self.effects.push(Effect::Send {
             address: self.upstreams[upstream].address,
             attempt,
-            sending: effect::Sending::Attach {
+            outbound: effect::Outbound::Attach {
                 position,
                 stream: effect::Stream { generation, number },
             },
@@ -198,35 +204,35 @@
         true
     }
 
-    /// Follows a continuation that another instance claimed: its stream is read on from here. It
-    /// is never started a second time.
-    fn follow(&mut self, key: request::Key, upstream: u64) {
+    /// Attaches to a continuation that another instance claimed. The continuation is never started
+    /// a second time.
+    fn follow_peer(&mut self, key: request::Key, upstream: u64) {
         let request = &mut self.requests[key];
         request.claim = None;
-        let number = request.number;
+        let number = request.last_attempt;
         for attempt in request.attempts.clone() {
-            self.close(attempt);
+            self.remove_attempt(attempt);
         }
-        self.requests[key].following = true;
+        self.requests[key].follows_peer = true;
         if !self.attach_to(key, upstream, number) {
             self.fail(key, Kind::Unknown);
         }
     }
 
-    /// Makes an attempt at an upstream, not yet sent.
-    fn open(&mut self, key: request::Key, upstream: upstream::Key) -> attempt::Key {
+    /// Creates an attempt at an upstream without sending it.
+    fn open_attempt(&mut self, key: request::Key, upstream: upstream::Key) -> attempt::Key {
         let request = &mut self.requests[key];
-        request.number += 1;
+        request.last_attempt += 1;
         let attempt = self.attempts.insert(Attempt {
             ahead_tokens: 0,
             backup: None,
-            began: None,
             copy: None,
-            last: self.now,
-            number: request.number,
+            created_at: self.now,
+            first_event_at: None,
+            last_event_at: self.now,
+            number: request.last_attempt,
             request: key,
             sent: false,
-            sent_at: self.now,
             started: false,
             suspected: false,
             upstream,
@@ -234,74 +240,78 @@
         request.attempts.push(attempt);
         let upstream = &mut self.upstreams[upstream];
         if upstream.attempts.is_empty() {
-            upstream.heard = self.now;
+            upstream.last_heard = self.now;
         }
         upstream.attempts.push(attempt);
-        upstream.change(1, self.now);
+        upstream.adjust_load(1, self.now);
         attempt
     }
 
-    /// Gives an attempt to the edge. The last check before a request may run.
-    fn send(&mut self, key: attempt::Key) {
+    /// Hands an attempt to the edge, after the last invariant checks before a request may run.
+    fn send_attempt(&mut self, key: attempt::Key) {
         let attempt = &self.attempts[key];
         let request = &self.requests[attempt.request];
         let upstream_key = attempt.upstream;
         let upstream = &self.upstreams[upstream_key];
         let continues = request.position() > 0 && self.settings.continue_non_repeatable;
-        let alone = request
+        let is_only_sent = request
             .attempts
             .iter()
             .all(|other| *other == key || !self.attempts[*other].sent);
-        let once = request.service.repeatable || (alone && (!request.may_have_run || continues));
-        let (address, leaves) = (upstream.address, upstream.leaves(self.now));
-        let rests = upstream.rests(self.now);
+        let runs_once =
+            request.service.repeatable || (is_only_sent && (!request.may_have_run || continues));
+        let (address, is_leaving) = (upstream.address, upstream.is_leaving(self.now));
+        let is_in_backoff = upstream.is_in_backoff(self.now);
         let (number, owner) = (attempt.number, attempt.request);
-        let sending = match request.work {
-            Work::Relay(_) => self.relaying(key),
-            Work::Call { .. } | Work::Generate { .. } => request.sending(number, &self.settings),
+        let outbound = match request.work {
+            Work::Relay(_) => self.relay_outbound(key),
+            Work::Call { .. } | Work::Generate { .. } => request.outbound(number, &self.settings),
         };
-        let guilty = self.is_guilty(request.print);
-        let permitted = self.upstreams[upstream_key].spend(self.now);
-        self.check(permitted, Invariant::NoWorkBeyondLimit);
-        self.check(!leaves, Invariant::NoWorkWhenLeaving);
-        self.check(!rests, Invariant::NoWorkWhenResting);
-        if !self.check(!guilty, Invariant::NoQuarantinedWork) {
-            self.refuse_guilty(owner);
+        let is_quarantined = self.is_quarantined(request.print);
+        let has_permit = self.upstreams[upstream_key].take_permit(self.now);
+        self.check_invariant(has_permit, Invariant::NoWorkBeyondLimit);
+        self.check_invariant(!is_leaving, Invariant::NoWorkWhenLeaving);
+        self.check_invariant(!is_in_backoff, Invariant::NoWorkWhenResting);
+        if !self.check_invariant(!is_quarantined, Invariant::NoQuarantinedWork) {
+            self.refuse_quarantined(owner);
             return;
         }
-        if !self.check(once, Invariant::RunsOnce) {
+        if !self.check_invariant(runs_once, Invariant::RunsOnce) {
             self.fail(owner, Kind::Unknown);
             return;
         }
         self.attempts[key].sent = true;
-        self.attempts[key].last = self.now;
-        self.requests[owner].sent.get_or_insert(self.now);
-        self.requests[owner].passage.reached += 1;
+        self.attempts[key].last_event_at = self.now;
+        self.requests[owner].first_sent_at.get_or_insert(self.now);
+        self.requests[owner].progress.upstreams_reached += 1;
         let upstream = self.attempts[key].upstream;
-        let what = self.sent(key);
-        let note = self.noted(&self.requests[owner], what, Some(upstream));
-        self.effects.push(note);
+        let step = self.sent_step(key);
+        let entry = self.log_effect(&self.requests[owner], step, Some(upstream));
+        self.effects.push(entry);
         self.effects.push(Effect::Send {
             address,
             attempt: key,
-            sending,
+            outbound,
             upstream,
         });
     }
 
-    /// What is noted of an attempt that is sent.
-    fn sent(&self, key: attempt::Key) -> effect::What {
+    /// Log step of an attempt that is sent.
+    fn sent_step(&self, key: attempt::Key) -> effect::Step {
         let attempt = &self.attempts[key];
         let backup = attempt.backup.and_then(|key| self.upstreams.get(key));
-        effect::What::Sent {
+        effect::Step::Sent {
             backup: backup.map(|upstream| upstream.name.clone()),
             copy: attempt.copy.as_ref().map(|copy| copy.run.clone()),
             left_ms: self.requests[attempt.request].deadline.since(self.now),
-            list_age_ms: self.listed.map_or(0, |listed| self.now.since(listed)),
+            list_age_ms: self
+                .list_read_at
+                .map_or(0, |read_at| self.now.since(read_at)),
         }
     }
 
-    /// Sends a request whose claim is settled, or lets it wait again if its upstream went away.
+    /// Sends a request whose claim is settled, or queues it again if its upstream no longer accepts
+    /// requests.
     fn send_claimed(&mut self, key: request::Key) {
         let request = &mut self.requests[key];
         request.state = State::Running;
@@ -310,27 +320,28 @@
             return;
         };
         let upstream = &self.upstreams[self.attempts[attempt].upstream];
-        if upstream.takes_work(self.now) && self.now >= self.stale_until {
-            self.send(attempt);
+        if upstream.accepts_work(self.now) && self.now >= self.list_stale_until {
+            self.send_attempt(attempt);
             return;
         }
-        self.close(attempt);
+        self.remove_attempt(attempt);
         self.enqueue(key);
     }
 
-    /// Starts an attempt: at once, or after the claim that it needs.
-    fn start(&mut self, key: request::Key, upstream: upstream::Key) {
+    /// Starts an attempt: immediately, or after the claim that it needs.
+    fn start_attempt(&mut self, key: request::Key, upstream: upstream::Key) {
         let nonce = self.rng.random();
-        let attempt = self.open(key, upstream);
+        let attempt = self.open_attempt(key, upstream);
         let request = &mut self.requests[key];
         let relayed = request.work.relay().is_some();
         let continues = request.may_have_run && !request.service.repeatable && !relayed;
         if request.claim.is_none() && continues {
             let id = self.upstreams[upstream].life.id;
-            request.claim = Claim::continuation(request.generation, request.number, id, nonce);
+            request.claim =
+                Claim::continuation(request.generation, request.last_attempt, id, nonce);
         }
         if let Some(claim) = request.claim {
-            request.claim_asked = self.now;
+            request.claim_requested_at = self.now;
             request.state = State::Claiming;
             self.effects.push(Effect::Claim {
                 claim,
@@ -340,15 +351,15 @@
         }
         request.state = State::Running;
         if relayed {
-            self.plan(attempt);
+            self.prepare_relay(attempt);
         }
-        self.send(attempt);
+        self.send_attempt(attempt);
     }
 }
 
 impl Request {
-    /// What an attempt sends.
-    fn sending(&self, number: u32, settings: &Settings) -> effect::Sending {
+    /// Message that an attempt sends to its upstream.
+    fn outbound(&self, number: u32, settings: &Settings) -> effect::Outbound {
         match (&self.work, &self.service.target) {
             (
                 Work::Generate {
@@ -357,7 +368,7 @@
                     ..
                 },
                 config::Target::Generate { adapter, model },
-            ) => effect::Sending::Generate {
+            ) => effect::Outbound::Generate {
                 adapter: adapter.clone(),
                 linger_ms: settings.linger_ms,
                 max_tokens: *max_tokens,
@@ -370,7 +381,7 @@
                     number,
                 },
             },
-            (work, _) => effect::Sending::Call {
+            (work, _) => effect::Outbound::Call {
                 path: work.path(),
                 payload: work.payload(),
                 repeatable: self.service.repeatable,
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -1,17 +1,18 @@
-//! What follows when an attempt fails: another attempt, a continuation, or an honest error.
+//! Recovery from failed attempts: a retry, a continuation, or an error that states correctly
+//! whether the request may have run.
 
 use super::*;
 
 impl Core {
-    /// An attempt ended without a whole answer.
-    pub(crate) fn failed(&mut self, key: attempt::Key, failure: Failure) {
-        let Some(attempt) = self.close(key) else {
+    /// Handles an attempt that ended without a complete answer.
+    pub(crate) fn handle_failure(&mut self, key: attempt::Key, failure: Failure) {
+        let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
             return;
         };
         let request = attempt.request;
         if self.requests[request].work.relay().is_some() {
-            self.relay_failed(&attempt, failure);
+            self.handle_relay_failure(&attempt, failure);
             return;
         }
         let reason = match failure {
@@ -31,40 +32,40 @@
         match failure {
             Failure::Broken => {
                 self.requests[request].may_have_run = true;
-                self.doubt(attempt.upstream);
+                self.mark_suspected(attempt.upstream);
             }
-            Failure::Leaving | Failure::Replaced => self.leave(attempt.upstream),
-            Failure::NotSent => self.doubt(attempt.upstream),
-            Failure::Refused => self.refused(attempt.upstream),
+            Failure::Leaving | Failure::Replaced => self.mark_leaving(attempt.upstream),
+            Failure::NotSent => self.mark_suspected(attempt.upstream),
+            Failure::Refused => self.mark_full(attempt.upstream),
             Failure::Rejected | Failure::UnknownStream => {}
         }
-        self.requests[request].avoid = Some(attempt.upstream);
+        self.requests[request].avoided_upstream = Some(attempt.upstream);
         if failure == Failure::Broken {
-            self.suspect(&attempt);
+            self.suspect_crash(&attempt);
         }
-        self.go_on_checked(request, attempt.upstream, reason);
+        self.retry_after_crash_check(request, attempt.upstream, reason);
     }
 
-    /// Gives up on an attempt that the upstream may still be running.
+    /// Abandons an attempt that the upstream may still be running, and recovers its request.
     pub(crate) fn abandon(&mut self, key: attempt::Key, reason: counter::Reason) {
         let Some(attempt) = self.cancel(key) else {
             return;
         };
         let request = &mut self.requests[attempt.request];
-        request.avoid = Some(attempt.upstream);
+        request.avoided_upstream = Some(attempt.upstream);
         request.may_have_run |= attempt.sent;
         if request.work.relay().is_some() {
-            self.keep_copy(&attempt);
-            self.note_lost(&attempt, reason);
-            self.relay_again(attempt.request, reason);
+            self.remember_copy(&attempt);
+            self.log_lost(&attempt, reason);
+            self.retry_relay(attempt.request, reason);
             return;
         }
         self.recover(attempt.request, reason);
     }
 
-    /// Stops an attempt and tells the engine.
+    /// Removes an attempt and, if it was sent, cancels it at the engine.
     pub(crate) fn cancel(&mut self, key: attempt::Key) -> Option<Attempt> {
-        let attempt = self.close(key)?;
+        let attempt = self.remove_attempt(key)?;
         if attempt.sent {
             let request = &self.requests[attempt.request];
             let stream = matches!(request.work, Work::Generate { .. }).then_some(effect::Stream {
@@ -80,82 +81,88 @@
         Some(attempt)
     }
 
-    /// Takes an attempt out of the state.
-    pub(crate) fn close(&mut self, key: attempt::Key) -> Option<Attempt> {
+    /// Removes an attempt from the state, its request and its upstream.
+    pub(crate) fn remove_attempt(&mut self, key: attempt::Key) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(request) = self.requests.get_mut(attempt.request) {
             request.attempts.retain(|other| *other != key);
         }
         if let Some(upstream) = self.upstreams.get_mut(attempt.upstream) {
             upstream.attempts.retain(|other| *other != key);
-            upstream.change(-1, self.now);
+            upstream.adjust_load(-1, self.now);
         }
         Some(attempt)
     }
 
-    /// Gives the caller an error as its final answer.
+    /// Fails a request: cancels its attempts and ends the caller's response. A stream that has
+    /// begun is aborted; otherwise a held error response of an upstream is forwarded in preference
+    /// to `kind`.
     pub(crate) fn fail(&mut self, key: request::Key, kind: Kind) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let touched = self.touched(request);
-        let not_run = kind.answer().ran == kind::Ran::No;
-        let honest = self.check(!(not_run && touched), Invariant::NotRunIsTrue);
-        let kind = if honest { kind } else { Kind::Unknown };
+        let maybe_executed = self.may_have_executed(request);
+        let claims_unexecuted = kind.answer().ran == kind::Ran::No;
+        let is_consistent = self.check_invariant(
+            !(claims_unexecuted && maybe_executed),
+            Invariant::NotRunIsTrue,
+        );
+        let kind = if is_consistent { kind } else { Kind::Unknown };
         for attempt in self.requests[key].attempts.clone() {
             self.cancel(attempt);
         }
         let Some(request) = self.remove(key) else {
             return;
         };
-        self.note(&request, effect::What::Failed(kind), None);
-        self.tell_over(&request, sighting::Stage::Left);
+        self.log_step(&request, effect::Step::Failed(kind), None);
+        self.gossip_end(&request, sighting::Stage::Left);
         let pool = request.service.pool();
-        if request.passage.opened {
+        if request.progress.is_open {
             self.count(Counter::Refused(kind));
-            self.effects.push(Effect::Cut(request.caller));
-            self.pump(pool);
+            self.effects.push(Effect::AbortStream(request.caller));
+            self.dispatch_queued(pool);
             return;
         }
-        if request.passage.fault {
-            self.effects.push(Effect::Answer(request.caller));
-            self.pump(pool);
+        if request.progress.has_held_error {
+            self.effects.push(Effect::ForwardResponse(request.caller));
+            self.dispatch_queued(pool);
             return;
         }
-        if not_run {
+        if claims_unexecuted {
             self.count_refused(&request);
         }
         let retry_after_ms = kind.answer().retry.then(|| match request.work {
-            Work::Relay(_) => self.come_back(&request),
+            Work::Relay(_) => self.retry_after_ms(&request),
             Work::Call { .. } | Work::Generate { .. } => {
-                let rest = self.come_back_rested(&request);
+                let rest = self.backoff_retry_after(&request);
                 rest.unwrap_or_else(|| {
-                    self.retry_after(pool, request.service.priority, &request.customer)
+                    self.queue_retry_after_ms(pool, request.service.priority, &request.customer)
                 })
             }
         });
         self.refuse(request.caller, kind, retry_after_ms);
-        self.pump(pool);
+        self.dispatch_queued(pool);
     }
 
-    /// Gives up on a request: `unsent` if no upstream can have run it, else `sent`.
+    /// Fails a request with `unsent` if no upstream can have run it, otherwise with `sent`.
     pub(crate) fn give_up(&mut self, key: request::Key, unsent: Kind, sent: Kind) {
-        let touched = self.touched(&self.requests[key]);
-        self.fail(key, if touched { sent } else { unsent });
+        let maybe_executed = self.may_have_executed(&self.requests[key]);
+        self.fail(key, if maybe_executed { sent } else { unsent });
     }
 
-    /// Sends a request on after its last attempt is over, if that is allowed.
+    /// Retries or continues a request after its last attempt ended, if that is permitted; fails it
+    /// otherwise.
     pub(crate) fn recover(&mut self, key: request::Key, reason: counter::Reason) {
         let request = &self.requests[key];
         if !request.attempts.is_empty() || request.state == State::Claiming {
             return;
         }
-        if self.is_guilty(request.print) {
-            self.refuse_guilty(key);
+        if self.is_quarantined(request.print) {
+            self.refuse_quarantined(key);
             return;
         }
-        if request.following && reason == counter::Reason::Caller {
-            // The other instance claimed the continuation but its stream is not there.
+        if request.follows_peer && reason == counter::Reason::Caller {
+            // Another instance claimed the continuation, but its stream does not exist.
             self.fail(key, Kind::Unknown);
             return;
         }
@@ -164,7 +171,7 @@
             return;
         }
         let repeatable = request.service.repeatable;
-        let exhausted = request.number >= self.settings.attempts_max;
+        let exhausted = request.last_attempt >= self.settings.attempts_max;
         if request.position() > 0 {
             let allowed = repeatable || self.settings.continue_non_repeatable;
             if !self.settings.continuation || exhausted {
@@ -187,23 +194,24 @@
         }
     }
 
-    /// Whether a request may be sent a second time: what no upstream took in may, everything else needs a
-    /// permit. Each upstream that is gone is met once, so this adds no load to those that are there.
+    /// Whether a request may be retried. Requests that no upstream accepted need no permit: each
+    /// failed upstream is hit once, so their retries add no load to the others. All others take a
+    /// permit from the retry budget.
     pub(crate) fn may_retry(&mut self, key: request::Key, reason: counter::Reason) -> bool {
-        if self.settings.shared.unsent && reason.never_taken_in() {
+        if self.settings.shared.unsent && reason.was_never_accepted() {
             return true;
         }
         let pool = self.requests[key].service.pool();
         let Some(pool) = self.pools.get_mut(pool) else {
             return false;
         };
-        pool.retries
+        pool.retry_budget
             .share(self.instances, self.settings.shared.least);
-        pool.retries.spend(self.now)
+        pool.retry_budget.spend(self.now)
     }
 
-    /// Whether an upstream may have run any of a request.
-    fn touched(&self, request: &Request) -> bool {
+    /// Whether an upstream may have run a request, even in part.
+    fn may_have_executed(&self, request: &Request) -> bool {
         let sent = |key: &attempt::Key| self.attempts[*key].sent;
         request.may_have_run || request.attempts.iter().any(sent)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,9 +4,8 @@
 //! and answers with a list of [`effect::Effect`]. It reads no clock, opens no socket and starts no
 //! thread, so the same settings, seed and events always give the same effects.
 
-pub mod absence;
 pub mod attempt;
-pub mod bound;
+pub mod availability;
 pub mod budget;
 pub mod claim;
 pub mod clock;
@@ -18,19 +17,18 @@
 pub mod detector;
 pub mod digest;
 pub mod effect;
+pub mod estimates;
 pub mod event;
-pub mod gauge;
+pub mod fingerprint;
+pub mod incarnation;
 pub mod informer;
+pub mod informer_io;
 pub mod invariant;
 pub mod kind;
-pub mod lesson;
-pub mod life;
 pub mod limit;
-pub mod line;
 pub mod members;
 pub mod notice;
 pub mod position;
-pub mod print;
 pub mod quarantine;
 pub mod queue;
 pub mod request;
@@ -38,60 +36,61 @@
 pub mod roster;
 pub mod settings;
 pub mod sighting;
+pub mod staleness;
+pub mod store_calls;
 pub mod upstream;
 
 mod admission;
+mod capacity;
 mod dispatch;
 mod failure;
-mod patience;
 mod place;
 mod relay;
-mod room;
 mod route;
 mod stream;
 mod suspicion;
+mod timeout;
 mod usage;
 mod version;
 mod watch;
 mod window;
 
 use {
-    crate::core::{Core, Early},
-    absence::{Absence, Span},
+    crate::core::{Core, DeferredRequest},
     attempt::Attempt,
-    bound::Bound,
+    availability::{Availability, Span},
     budget::Budget,
     claim::Claim,
     clock::Time,
     config::{Config, Policy, Priority},
     counter::{Counter, Timing},
     cursor::Cursor,
-    demand::{Demand, Demands},
-    detector::Detector,
+    demand::{Demand, DemandTracker},
+    detector::StallDetector,
     digest::Digest,
     effect::Effect,
-    event::{Event, Failure, Listed, Piece},
-    gauge::{Gauge, Pace},
+    estimates::{EngineSpeed, PoolEstimates},
+    event::{Event, Failure, ListEntry, OutputToken},
+    fingerprint::RequestFingerprint,
+    incarnation::Incarnation,
+    informer_io::CancelReason,
     invariant::Invariant,
     kind::Kind,
-    lesson::Why,
-    life::Life,
     limit::Limit,
-    line::Line,
     members::{Members, View},
     notice::Notice,
     position::Position,
-    print::Print,
-    quarantine::Account,
+    quarantine::CrashHistory,
     queue::Queue,
     rand::{RngExt, SeedableRng, seq::SliceRandom},
     rand_pcg::Pcg64Mcg,
     request::{Request, State, Work},
-    role::{Role, Turn},
-    roster::{Change, Roster, Word, Worth},
-    settings::{Guilt, Resume, Routing, Settings},
+    role::{Role, WatcherRank},
+    roster::{Change, Roster, RosterUpdate, UpdateOutcome},
+    settings::{QuarantineRule, ResumeMode, Routing, Settings},
     sighting::Sighting,
     slotmap::{SecondaryMap, SlotMap, new_key_type},
+    staleness::StalenessBound,
     std::{
         collections::{BTreeMap, BTreeSet, HashMap, VecDeque},
         fmt::{self, Display, Formatter},
@@ -99,8 +98,9 @@
         ops::RangeInclusive,
         sync::Arc,
     },
-    suspicion::Suspicion,
+    store_calls::StoreCalls,
+    suspicion::CrashSuspects,
     upstream::{Health, Load, Upstream},
-    usage::{Own, Usage},
+    usage::{OwnUsage, Usage},
     window::Window,
 };
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -1,257 +1,268 @@
-//! What an upstream says of itself beside an answer, whatever becomes of the answer, and what follows from it.
+//! State that an upstream announces in response headers, whatever becomes of the response, and its effects.
 //!
-//! The platform's list may be late or away; these words are in the instance's own hands. Each holds from before any byte
-//! of the answer that brought it goes to a caller.
+//! The platform's list may be delayed or unavailable, while headers reach the instance directly. Each header takes effect
+//! before any byte of its response goes to a caller.
 
 use super::*;
 use limit::Rate;
 
-/// The longest rest that is believed, in milliseconds: one hour. An upstream that wants nothing for longer says that it
-/// leaves; a time written in another unit must not take one out for good.
-const REST_MOST_MS: u64 = 3_600_000;
+/// Longest accepted back-off, in milliseconds: one hour. An upstream that wants no requests for longer announces that it
+/// is leaving; a value in the wrong unit must not exclude one for good.
+const MAX_BACKOFF_MS: u64 = 3_600_000;
 
-/// Part of a rest, as a divisor, over which its ends are spread: instances that were turned away in the same moment, and callers
-/// that these refuse, must not come back in the same moment.
-const SPREAD: u64 = 10;
+/// Fraction of a back-off, as a divisor, by which its end is randomized. Instances that were refused at the same moment,
+/// and callers that these refuse, must not all return at the same moment.
+const JITTER_DIVISOR: u64 = 10;
 
-/// Time for which it is remembered what an upstream said that is listed no more, in milliseconds: an entry may be back
-/// seconds later, when the store was away, while upstreams that leave are gone within minutes.
-const KEPT_MS: u64 = 600_000;
+/// Retention time for the state of upstreams that are no longer listed, in milliseconds. An entry may return seconds
+/// later, after an outage of the store, while upstreams that leave are gone within minutes.
+const RETENTION_MS: u64 = 600_000;
 
-/// Upstreams whose words are remembered though they are listed no more, at most: all of the largest fleet designed for, replaced
-/// once. One takes under 100 bytes.
-const KEPT_MOST: usize = 2_200;
+/// Unlisted upstreams whose state is retained, at most: the largest supported fleet, replaced once. An entry takes under
+/// 100 bytes.
+const MAX_RETAINED: usize = 2_200;
 
-/// What the head of one answer says of the upstream that gave it.
+/// State of an upstream as announced in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Whether it is leaving.
+    /// Back-off requested from this instance.
+    pub backoff: Backoff,
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Which requests it takes from all instances together.
+    /// Rate limit over all instances.
     pub limit: Limit,
-    /// Its load, if it tells that.
+    /// Load report; `None` if the response has none.
     pub load: Option<Load>,
-    /// Whether it wants no requests of this instance for a while.
-    pub rest: Rest,
 }
 
-/// For how long an upstream wants no requests of the instance that it answers.
+/// Time for which an upstream wants no requests from the instance that it answers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Rest {
-    /// For so many milliseconds.
+pub enum Backoff {
+    /// Milliseconds.
     For(u64),
-    /// It does not ask for any.
+    /// Not a valid number of seconds.
+    Malformed,
+    /// No back-off requested.
     #[default]
     None,
-    /// It asks for something that is no time.
-    Odd,
 }
 
-/// What holds of a life of an upstream by its own words.
+/// State announced by one incarnation of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Standing {
-    /// Whether it is leaving, up to its end.
+pub struct DeclaredState {
+    /// Until when this instance sends it no requests.
+    pub backoff_until: Time,
+    /// Whether it is shutting down; final for the incarnation.
     pub leaving: bool,
-    /// What it takes from all instances together, if it names that.
+    /// Rate limit over all instances; `None` if it announces none.
     pub limit: Option<Rate>,
-    /// Until when it wants no requests of this instance.
-    pub rests_until: Time,
 }
 
-/// What upstreams said that are listed no more.
+/// Announced state of upstreams that are no longer listed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Standings(BTreeMap<(Life, SocketAddr), Kept>);
+pub(crate) struct RetainedStates(BTreeMap<(Incarnation, SocketAddr), Retained>);
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct Retained {
     at: Time,
-    standing: Standing,
+    state: DeclaredState,
 }
 
 impl Notice {
-    /// Whether the head says nothing of the upstream but its load.
+    /// Whether the headers announce nothing but load.
     pub fn is_plain(&self) -> bool {
         let unlimited = matches!(self.limit, Limit::None | Limit::Unknown);
-        !self.leaving && self.rest == Rest::None && unlimited
+        !self.leaving && self.backoff == Backoff::None && unlimited
     }
 }
 
-impl Rest {
-    /// Reads a time in seconds, which may have a fraction.
-    pub fn read(text: &str) -> Self {
-        // The cast saturates, so a time beyond all numbers is the longest one.
-        decimal(text).map_or(Self::Odd, |seconds| {
+impl Backoff {
+    /// Parses a number of seconds, which may have a fraction.
+    pub fn parse(text: &str) -> Self {
+        // The cast saturates, so larger numbers become the maximum.
+        parse_decimal(text).map_or(Self::Malformed, |seconds| {
             Self::For((seconds * 1_000.0).ceil() as u64)
         })
     }
 }
 
-/// A number of digits that may have a fraction; no sign, exponent or unit.
-pub(crate) fn decimal(text: &str) -> Option<f64> {
+/// Parses digits with an optional fraction; no sign, exponent or unit.
+pub(crate) fn parse_decimal(text: &str) -> Option<f64> {
     let text = text.trim();
-    let plain = |byte: u8| byte.is_ascii_digit() || byte == b'.';
+    let is_plain = |byte: u8| byte.is_ascii_digit() || byte == b'.';
     let number = text.parse::<f64>().ok();
-    number.filter(|_| text.bytes().all(plain))
+    number.filter(|_| text.bytes().all(is_plain))
 }
 
-impl Standings {
-    /// Remembers what an upstream said whose entry is gone. Of too many the oldest is forgotten.
+impl RetainedStates {
+    /// Retains the state of an upstream that was removed. Evicts the oldest entry at capacity.
     pub fn keep(&mut self, upstream: &Upstream, now: Time) {
-        self.0.retain(|_, kept| now.since(kept.at) < KEPT_MS);
-        let standing = Standing {
-            limit: upstream.part.map(|part| part.rate()),
-            ..upstream.standing
+        self.0
+            .retain(|_, retained| now.since(retained.at) < RETENTION_MS);
+        let state = DeclaredState {
+            limit: upstream.limit_bucket.map(|bucket| bucket.rate()),
+            ..upstream.declared
         };
-        if standing == Standing::default() {
+        if state == DeclaredState::default() {
             return;
         }
-        if self.0.len() >= KEPT_MOST
-            && let Some(oldest) = self.0.iter().min_by_key(|(_, kept)| kept.at)
+        if self.0.len() >= MAX_RETAINED
+            && let Some(oldest) = self.0.iter().min_by_key(|(_, retained)| retained.at)
         {
             let oldest = *oldest.0;
             self.0.remove(&oldest);
         }
         let key = (upstream.life, upstream.address);
-        self.0.insert(key, Kept { at: now, standing });
+        self.0.insert(key, Retained { at: now, state });
     }
 
-    /// What a life said at an address before its entry was gone.
-    pub fn take(&mut self, life: Life, address: SocketAddr) -> Standing {
-        let kept = self.0.remove(&(life, address));
-        kept.map_or_else(Standing::default, |kept| kept.standing)
+    /// Removes and returns the state that an incarnation announced at an address before its entry was removed.
+    pub fn take(&mut self, life: Incarnation, address: SocketAddr) -> DeclaredState {
+        let retained = self.0.remove(&(life, address));
+        retained.map_or_else(DeclaredState::default, |retained| retained.state)
     }
 }
 
 impl Core {
-    /// An upstream said something of itself beside the answer to an attempt.
-    pub(crate) fn noticed(&mut self, key: upstream::Key, attempt: attempt::Key, notice: &Notice) {
+    /// Applies the headers of the response to an attempt.
+    pub(crate) fn apply_notice(
+        &mut self,
+        key: upstream::Key,
+        attempt: attempt::Key,
+        notice: &Notice,
+    ) {
         if !self.upstreams.contains_key(key) {
             return;
         }
         if let Some(load) = notice.load {
-            self.carried_by(key, load);
+            self.apply_upstream_load(key, load);
         }
         if notice.leaving {
-            self.departs(key);
+            self.apply_own_leaving(key);
         }
-        self.limited(key, attempt, notice.limit);
-        match notice.rest {
-            Rest::For(millis) => self.rest(key, millis),
-            Rest::None => {}
-            Rest::Odd => self.count(Counter::NoticeOdd),
+        self.apply_limit(key, attempt, notice.limit);
+        match notice.backoff {
+            Backoff::For(millis) => self.back_off(key, millis),
+            Backoff::Malformed => self.count(Counter::NoticeInvalid),
+            Backoff::None => {}
         }
     }
 
-    /// An upstream says that it is leaving. That holds for the rest of its life, whatever the list says: the store may be away, or
-    /// show what it was told before. Calls went to such an upstream up to 6 s behind its word while the store was away.
-    fn departs(&mut self, key: upstream::Key) {
+    /// Marks an upstream as leaving for the rest of its incarnation, whatever the list says: the store may be unavailable or
+    /// outdated. Calls went to such an upstream up to 6 s after its announcement while the store was unavailable.
+    fn apply_own_leaving(&mut self, key: upstream::Key) {
         self.count(Counter::NoticeLeaving);
-        if self.upstreams[key].standing.leaving {
+        if self.upstreams[key].declared.leaving {
             return;
         }
-        self.leave(key);
-        self.upstreams[key].standing.leaving = true;
+        self.mark_leaving(key);
+        self.upstreams[key].declared.leaving = true;
     }
 
-    /// An upstream wants no requests for a while. A shorter word does not end an earlier one; without it an upstream that turned
-    /// requests away was sent more a quarter of a second later.
-    fn rest(&mut self, key: upstream::Key, millis: u64) {
+    /// Starts or extends a back-off; a shorter one does not end an earlier one. Without it, an upstream that refused requests
+    /// got more a quarter of a second later.
+    fn back_off(&mut self, key: upstream::Key, millis: u64) {
         self.count(Counter::NoticeRest);
-        let millis = millis.min(REST_MOST_MS);
-        let spread = self.rng.random_range(0..=millis / SPREAD);
-        let until = self.now.after(millis + spread);
-        let rested = self.upstreams[key].rests(self.now);
-        let standing = &mut self.upstreams[key].standing;
-        standing.rests_until = standing.rests_until.max(until);
-        if !rested && millis > 0 {
-            self.believe(key, effect::Belief::Resting);
+        let millis = millis.min(MAX_BACKOFF_MS);
+        let jitter = self.rng.random_range(0..=millis / JITTER_DIVISOR);
+        let until = self.now.after(millis + jitter);
+        let was_in_backoff = self.upstreams[key].is_in_backoff(self.now);
+        let state = &mut self.upstreams[key].declared;
+        state.backoff_until = state.backoff_until.max(until);
+        if !was_in_backoff && millis > 0 {
+            self.log_belief(key, effect::StatusChange::Resting);
         }
-        self.refuse_resting(key);
+        self.refuse_bound_to_expire(key);
     }
 
-    /// Another instance heard from an upstream that it is leaving. It may be late, so it holds for a while only; the upstream's
-    /// own word is not in this instance's hands.
-    pub(crate) fn departing(&mut self, life: Life) {
+    /// Applies a peer's report that an upstream is leaving. It may be outdated, so it expires, unlike the upstream's own
+    /// announcement to this instance.
+    pub(crate) fn apply_peer_leaving(&mut self, life: Incarnation) {
         let Some(key) = self.lives.get(&life).copied() else {
             return;
         };
-        self.count(Counter::LeavingTold);
-        self.hint(key);
+        self.count(Counter::PeerLeaving);
+        self.set_leaving_hint(key);
     }
 
-    /// When the first upstream that a request may go to wants requests again, if all of them rest; `None` if one does not, or if
-    /// there is none.
-    pub(crate) fn rested_at(&self, request: &Request) -> Option<Time> {
+    /// When the first back-off ends, if all upstreams for a request are in one; `None` if any is not, or if there are none.
+    pub(crate) fn backoff_end(&self, request: &Request) -> Option<Time> {
         let pool = self.pools.get(request.service.pool())?;
-        let stay = self.staying(pool);
-        let ends = stay.map(|upstream| upstream.standing.rests_until);
+        let assignable = self.assignable(pool);
+        let ends = assignable.map(|upstream| upstream.declared.backoff_until);
         ends.min().filter(|end| *end > self.now)
     }
 
-    /// Upstreams of a pool that work may be meant for, now or later.
-    pub(crate) fn staying<'a>(
+    /// Upstreams of a pool that work can be assigned to, now or after a back-off or rate limit.
+    pub(crate) fn assignable<'a>(
         &'a self,
         pool: &'a core::Pool,
     ) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams_of(pool)
-            .filter(|upstream| upstream.health != Health::Lost && !upstream.leaves(self.now))
+            .filter(|upstream| upstream.health != Health::Lost && !upstream.is_leaving(self.now))
             .filter(|upstream| !upstream.held)
     }
 
-    /// When a caller is asked to come back whose request finds no upstream since all rest, in milliseconds: when the first of them wants
-    /// requests again, also where the caller waits less long. `None` if one does not rest.
-    pub(crate) fn come_back_rested(&mut self, request: &Request) -> Option<u64> {
-        let end = self.rested_at(request)?;
-        let rest = end.since(self.now).max(room::COME_BACK_MS);
-        Some(self.rng.random_range(rest..=rest + rest / SPREAD))
+    /// Retry delay for a caller whose request finds all upstreams in back-off, in milliseconds: until the first back-off ends,
+    /// even if the caller would wait less. `None` if any upstream is not in back-off.
+    pub(crate) fn backoff_retry_after(&mut self, request: &Request) -> Option<u64> {
+        let end = self.backoff_end(request)?;
+        let remaining = end.since(self.now).max(capacity::MIN_RETRY_AFTER_MS);
+        Some(
+            self.rng
+                .random_range(remaining..=remaining + remaining / JITTER_DIVISOR),
+        )
     }
 
-    /// Whether it is known that a request which so many others go before finds no upstream as long as it may wait, since all rest or
-    /// have named limits.
-    pub(crate) fn is_outlasted(&self, request: &Request, ahead: usize) -> bool {
-        let until = self.may_wait_until(request).min(request.deadline);
-        let until = until.min(self.last_begin(request));
-        let opens = self.opens_at(request, ahead);
-        opens.is_some_and(|opens| opens >= until)
+    /// Whether a request with `ahead` others before it will find no upstream in its waiting time, because of back-offs
+    /// and rate limits.
+    pub(crate) fn is_bound_to_expire(&self, request: &Request, ahead: usize) -> bool {
+        let until = self.queue_deadline(request).min(request.deadline);
+        let until = until.min(self.latest_start(request));
+        let available = self.available_at(request, ahead);
+        available.is_some_and(|available| available >= until)
     }
 
-    /// When a request must be sent at last for its answer to come in the time wanted, or soon if it is too late for that. Calls that
-    /// were let wait up to the time wanted itself were all late.
-    fn last_begin(&self, request: &Request) -> Time {
+    /// Latest time to send a request so that its response meets the target time, or soon if that has become impossible. Calls
+    /// that were queued up to the target time itself were all late.
+    fn latest_start(&self, request: &Request) -> Time {
         let pool = self.pools.get(request.service.pool());
-        let takes = pool.map_or(0.0, |pool| pool.demands.takes_ms());
-        let last = request.wanted_by.0.saturating_sub(takes as u64);
-        request.send_by.max(Time(last))
+        let duration_ms = pool.map_or(0.0, |pool| pool.demands.service_time_ms());
+        let latest = request.first_event_due.0.saturating_sub(duration_ms as u64);
+        request.send_by.max(Time(latest))
     }
 
-    /// Refuses a new request that no upstream takes as long as it may wait.
-    pub(crate) fn check_open(&mut self, request: &Request) -> Result<(), admission::Refusal> {
+    /// Refuses a new request that no upstream will take within its waiting time.
+    pub(crate) fn check_availability(
+        &mut self,
+        request: &Request,
+    ) -> Result<(), admission::Refusal> {
         let pool = self.pools.get(request.service.pool());
         let ahead = pool.map_or(0, |pool| pool.queue.ahead_of(request.service.priority));
-        if !self.is_outlasted(request, ahead) {
+        if !self.is_bound_to_expire(request, ahead) {
             return Ok(());
         }
-        self.shortage(request);
+        self.record_shortage(request);
         Err(admission::Refusal {
             kind: Kind::Overloaded,
-            retry_after_ms: Some(self.come_back(request)),
+            retry_after_ms: Some(self.retry_after_ms(request)),
         })
     }
 
-    /// Gives up on what waits and is known to find no upstream in time, since one more rests.
-    fn refuse_resting(&mut self, key: upstream::Key) {
+    /// Fails queued requests that will not find an upstream in time, after another upstream went into back-off.
+    fn refuse_bound_to_expire(&mut self, key: upstream::Key) {
         let pool = self.upstreams[key].pool.clone();
-        let waits = |request: &Request| {
+        let is_expiring = |request: &Request| {
             let queued = request.state == State::Queued && request.service.pool() == &*pool;
-            queued && self.is_outlasted(request, 0)
+            queued && self.is_bound_to_expire(request, 0)
         };
-        let in_vain: Vec<request::Key> = self
+        let expiring: Vec<request::Key> = self
             .requests
             .iter()
-            .filter(|(_, request)| waits(request))
+            .filter(|(_, request)| is_expiring(request))
             .map(|(key, _)| key)
             .collect();
-        for key in in_vain {
+        for key in expiring {
             self.give_up(key, Kind::Overloaded, Kind::UpstreamFailed);
         }
     }
--- a/crates/core/src/role.rs
+++ b/crates/core/src/role.rs
@@ -1,36 +1,36 @@
-//! What an instance does for the others of its data centre.
+//! Roles of instances in following the store for their data centre.
 
-/// What an instance does for its data centre.
+/// Role of an instance in its data centre.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// It watches the store for itself, as all do.
-    Alone,
-    /// It asks the store and tells the others when the one that watches is silent.
-    Deputy,
-    /// It hears from the one that watches.
+    /// Watches the store for itself, as every instance of a small fleet does.
+    Independent,
+    /// Calls the store and announces changes while the watcher is silent.
+    Standby,
+    /// Hears of changes from the watcher.
     Follower,
-    /// It watches and tells the others.
+    /// Watches the store and announces changes to the others.
     Watcher,
 }
 
 impl Role {
     /// Whether it hears of changes from another instance.
     pub fn follows(self) -> bool {
-        matches!(self, Self::Deputy | Self::Follower)
+        matches!(self, Self::Standby | Self::Follower)
     }
 }
 
-/// The place of an instance among those that watch the store for themselves. The first of them shows the others in
-/// short turns that nothing has changed, and the next ones stand in for it.
+/// Rank of an instance among those that watch the store. The first one confirms to the others at short intervals that
+/// nothing has changed; the next ones stand in for it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Turn {
-    /// How many they are, with this one.
+pub struct WatcherRank {
+    /// Number of watchers including this one.
     pub count: usize,
-    /// How many come before it.
+    /// Number of watchers before this one.
     pub rank: usize,
 }
 
-impl Default for Turn {
+impl Default for WatcherRank {
     fn default() -> Self {
         Self { count: 1, rank: 0 }
     }
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -1,286 +1,286 @@
-//! What instances tell each other of the streams that they relay.
+//! Records of relayed streams that instances exchange.
 
 use super::*;
 
-/// Time after which a sighting that was not renewed is forgotten, in milliseconds; longer than a
-/// stream runs and its caller takes to come back.
-const KEPT_MS: u64 = 30_000;
+/// Retention time for records that are not renewed, in milliseconds. Exceeds the duration of a stream plus the time until
+/// its caller returns.
+const RETENTION_MS: u64 = 30_000;
 
-/// Time after which a stream that was not told of again no longer counts as running, in
-/// milliseconds: a long answer of a busy engine. The instance that told may be gone.
+/// Time after which a stream without a new record no longer counts as running, in milliseconds: a long response of a busy
+/// engine. The instance that reported it may be gone.
 const RUNNING_MS: u64 = 20_000;
 
-/// Time after which a prompt that another instance told of counts as read where it is not known how fast
-/// engines read, in milliseconds; where instances are many, they do not tell when it was.
-pub(crate) const READING_MS: u64 = 1_500;
+/// Assumed duration of the prefill of another instance's stream if the engines' speed is unknown, in milliseconds.
+/// In large fleets instances do not report the end of a prefill.
+pub(crate) const DEFAULT_PREFILL_MS: u64 = 1_500;
 
-/// Time after which a stream that was told to wait no longer counts, in milliseconds: longer than streams
-/// are mostly let wait. The instance that told may be gone.
+/// Time after which a stream reported as waiting no longer counts, in milliseconds. Exceeds most waiting times. The
+/// instance that reported it may be gone.
 const WAITING_MS: u64 = 5_000;
 
-/// Sightings kept, at most; beyond it the older half of their time goes.
-const KEPT: usize = 20_000;
+/// Maximum number of records; beyond it, those in the older half of the retention time are removed.
+const MAX_ENTRIES: usize = 20_000;
 
-/// Upstreams by their lives.
-pub(crate) type Lives = BTreeMap<Life, upstream::Key>;
+/// Keys of upstreams by incarnation.
+pub(crate) type UpstreamsByIncarnation = BTreeMap<Incarnation, upstream::Key>;
 
-/// Where a stream stands.
+/// Progress of a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
-    /// It was answered whole.
+    /// Answered completely.
     Ended,
-    /// Its caller went away, or it could not go on; the caller may come back.
+    /// Interrupted by its caller or by a failure; the caller may return.
     Left,
-    /// It was sent to an upstream.
+    /// Sent to an upstream.
     Started,
-    /// Its first event came.
+    /// First event received.
     Streaming,
-    /// It waits for room at its instance.
+    /// Queued at its instance for lack of capacity.
     Waiting,
 }
 
-/// A relayed stream, as instances tell each other of it.
+/// Record of a relayed stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Sighting {
-    /// Upstream that keeps a copy of its memory.
-    pub backup: Option<Life>,
-    /// Name of the pool that it waits for; empty if it does not wait.
+    /// Upstream that keeps a copy of its KV cache.
+    pub backup: Option<Incarnation>,
+    /// Name of the pool in whose queue it is; empty unless it is queued.
     pub pool: String,
-    /// Identity of the prompt.
+    /// Hash of the prompt.
     pub prompt: u64,
-    /// Name of the run at its upstreams.
+    /// Request id at its upstreams.
     pub run: String,
-    /// Where it stands.
+    /// Progress.
     pub stage: Stage,
-    /// Tokens of prompt and longest answer.
+    /// Tokens of the prompt and the longest possible response.
     pub tokens: u32,
     /// Upstream that runs it.
-    pub upstream: Option<Life>,
+    pub upstream: Option<Incarnation>,
 }
 
-/// One stream that was told of.
+/// State kept for one record.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Entry {
     at: Time,
-    /// Upstream that keeps a copy of its memory, if it is known.
+    /// Upstream that keeps a copy of its KV cache, if known here.
     backup: Option<upstream::Key>,
-    /// When it holds something else.
-    due: Time,
-    holds: Holds,
-    /// Whether this instance relays it itself.
-    own: bool,
-    /// Time after which its prompt counts as read, in milliseconds.
-    reading_ms: u64,
+    /// When `reservation` may change.
+    expires_at: Time,
+    /// Whether this instance relays the stream itself.
+    is_own: bool,
+    /// Estimated duration of its prefill, in milliseconds.
+    prefill_ms: u64,
+    reservation: Reservation,
     sighting: Sighting,
-    /// Upstream that runs it, if it is known.
+    /// Upstream that runs it, if known here.
     upstream: Option<upstream::Key>,
 }
 
-/// What a stream of another instance is believed to hold.
+/// Resources that a stream of another instance is estimated to hold.
 #[derive(Clone, Copy, Debug)]
-enum Holds {
+enum Reservation {
     Nothing,
-    /// Memory and time of its upstream, and memory of the one that keeps its copy.
-    Room(Usage),
-    /// A place among those that wait for room in its pool.
-    Turn,
+    /// Position in the queue of its pool.
+    QueueSlot,
+    /// Memory and compute of its upstream, and memory of the upstream with its copy.
+    Resources(Usage),
 }
 
-/// Streams by the identity of their prompt, and what they hold together. Only what changes is reckoned anew,
-/// so that a decision costs as much with thousands of streams as with few.
+/// Records by hash of the prompt, and the sum of their reservations. Sums are updated incrementally, so that the cost of a
+/// decision does not grow with the number of streams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sightings {
-    /// When streams hold something else, by their prompts.
+    /// When reservations may change, with the hash of the prompt.
     due: BTreeSet<(Time, u64)>,
-    seen: HashMap<u64, Seen>,
-    /// What streams of other instances hold of each upstream.
+    entries: HashMap<u64, Entry>,
+    /// Usage of each upstream by streams of other instances.
     usages: SecondaryMap<upstream::Key, Usage>,
-    /// Streams of other instances that wait for room in each pool, in the order in which they were told of.
+    /// Queued streams of other instances by pool, in the order of their records.
     waiting: HashMap<String, BTreeSet<(Time, u64)>>,
 }
 
-impl Seen {
-    /// What it holds now, and when that may change.
-    fn holds(&self, now: Time) -> (Holds, Time) {
+impl Entry {
+    /// Returns its reservation at `now`, and when that may change.
+    fn reservation_at(&self, now: Time) -> (Reservation, Time) {
         let age = now.since(self.at);
         let tokens = self.sighting.tokens;
-        let room = |reading| Holds::Room(Usage::new(reading, tokens));
-        let (holds, until) = match self.sighting.stage {
-            _ if self.own => (Holds::Nothing, KEPT_MS),
-            Stage::Started if age < self.reading_ms => (room(true), self.reading_ms),
-            Stage::Started | Stage::Streaming if age < RUNNING_MS => (room(false), RUNNING_MS),
-            Stage::Waiting if age < WAITING_MS => (Holds::Turn, WAITING_MS),
-            _ => (Holds::Nothing, KEPT_MS),
+        let resources = |is_prefilling| Reservation::Resources(Usage::new(is_prefilling, tokens));
+        let (reservation, until) = match self.sighting.stage {
+            _ if self.is_own => (Reservation::Nothing, RETENTION_MS),
+            Stage::Started if age < self.prefill_ms => (resources(true), self.prefill_ms),
+            Stage::Started | Stage::Streaming if age < RUNNING_MS => (resources(false), RUNNING_MS),
+            Stage::Waiting if age < WAITING_MS => (Reservation::QueueSlot, WAITING_MS),
+            _ => (Reservation::Nothing, RETENTION_MS),
         };
-        (holds, self.at.after(until))
+        (reservation, self.at.after(until))
     }
 }
 
 impl Sightings {
-    /// Notes what another instance told, or what this one tells if it is its `own`. Its prompt counts as read
-    /// after `reading_ms`.
+    /// Adds a record from another instance, or from this one if `is_own` is set. The stream's prefill is assumed to take
+    /// `prefill_ms`.
     pub fn add(
         &mut self,
         sighting: Sighting,
-        own: bool,
-        reading_ms: u64,
-        lives: &Lives,
+        is_own: bool,
+        prefill_ms: u64,
+        lives: &UpstreamsByIncarnation,
         now: Time,
     ) {
         match sighting.stage {
-            Stage::Ended => self.forget(sighting.prompt),
+            Stage::Ended => self.remove(sighting.prompt),
             Stage::Left => {
-                if let Some(seen) = self.seen.get_mut(&sighting.prompt)
-                    && seen.sighting.run == sighting.run
+                if let Some(entry) = self.entries.get_mut(&sighting.prompt)
+                    && entry.sighting.run == sighting.run
                 {
-                    seen.sighting.stage = Stage::Left;
-                    self.settle(sighting.prompt, now);
+                    entry.sighting.stage = Stage::Left;
+                    self.update(sighting.prompt, now);
                 }
             }
             Stage::Started | Stage::Streaming | Stage::Waiting => {
-                if self.seen.len() >= KEPT {
-                    self.forget_older(now);
+                if self.entries.len() >= MAX_ENTRIES {
+                    self.remove_older(now);
                 }
                 let prompt = sighting.prompt;
-                let find = |life: Option<Life>| lives.get(&life?).copied();
-                self.forget(prompt);
-                let seen = Seen {
+                let find = |life: Option<Incarnation>| lives.get(&life?).copied();
+                self.remove(prompt);
+                let entry = Entry {
                     at: now,
                     backup: find(sighting.backup),
-                    due: now,
-                    holds: Holds::Nothing,
-                    own,
-                    reading_ms: reading_ms.min(RUNNING_MS),
+                    expires_at: now,
+                    is_own,
+                    prefill_ms: prefill_ms.min(RUNNING_MS),
+                    reservation: Reservation::Nothing,
                     upstream: find(sighting.upstream),
                     sighting,
                 };
-                self.seen.insert(prompt, seen);
-                self.settle(prompt, now);
+                self.entries.insert(prompt, entry);
+                self.update(prompt, now);
             }
         }
     }
 
-    /// Takes in that time has passed: streams hold less, and those told of long ago are forgotten.
+    /// Updates reservations that are due for a change, and removes expired records.
     pub fn advance(&mut self, now: Time) {
         while let Some((at, prompt)) = self.due.first().copied()
             && at <= now
         {
-            let seen = self.seen.get(&prompt);
-            if seen.is_none_or(|seen| now.since(seen.at) >= KEPT_MS) {
-                self.forget(prompt);
+            let entry = self.entries.get(&prompt);
+            if entry.is_none_or(|entry| now.since(entry.at) >= RETENTION_MS) {
+                self.remove(prompt);
                 self.due.remove(&(at, prompt));
             } else {
-                self.settle(prompt, now);
+                self.update(prompt, now);
             }
         }
     }
 
-    /// An upstream is known now of which streams may have been told before.
-    pub fn resolve(&mut self, life: Life, key: upstream::Key, now: Time) {
+    /// Links existing records to an upstream that has become known.
+    pub fn resolve(&mut self, life: Incarnation, key: upstream::Key, now: Time) {
         let life = Some(life);
-        let named: Vec<u64> = self
-            .seen
+        let affected: Vec<u64> = self
+            .entries
             .iter()
-            .filter(|(_, seen)| seen.sighting.upstream == life || seen.sighting.backup == life)
+            .filter(|(_, entry)| entry.sighting.upstream == life || entry.sighting.backup == life)
             .map(|(prompt, _)| *prompt)
             .collect();
-        for prompt in named {
+        for prompt in affected {
             self.release(prompt);
-            if let Some(seen) = self.seen.get_mut(&prompt) {
-                if seen.sighting.upstream == life {
-                    seen.upstream = Some(key);
+            if let Some(entry) = self.entries.get_mut(&prompt) {
+                if entry.sighting.upstream == life {
+                    entry.upstream = Some(key);
                 } else {
-                    seen.backup = Some(key);
+                    entry.backup = Some(key);
                 }
             }
-            self.settle(prompt, now);
+            self.update(prompt, now);
         }
     }
 
-    /// The last stream of a prompt.
+    /// Last record of a prompt.
     pub fn get(&self, prompt: u64) -> Option<&Sighting> {
-        self.seen.get(&prompt).map(|seen| &seen.sighting)
+        self.entries.get(&prompt).map(|entry| &entry.sighting)
     }
 
-    /// What streams of other instances are believed to use of an upstream.
+    /// Estimated usage of an upstream by streams of other instances.
     pub fn usage(&self, key: upstream::Key) -> Usage {
         self.usages.get(key).copied().unwrap_or_default()
     }
 
-    /// Streams of other instances that are believed to wait for room in a pool, and did so before a time.
+    /// Number of streams of other instances that are estimated to be queued for a pool and were so before a time.
     pub fn waiting(&self, pool: &str, before: Time) -> usize {
         let waiting = self.waiting.get(pool);
         waiting.map_or(0, |waiting| waiting.range(..=(before, u64::MAX)).count())
     }
 
-    /// Reckons anew what a stream holds.
-    fn settle(&mut self, prompt: u64, now: Time) {
+    /// Recomputes the reservation of a stream.
+    fn update(&mut self, prompt: u64, now: Time) {
         self.release(prompt);
-        let Some(seen) = self.seen.get_mut(&prompt) else {
+        let Some(entry) = self.entries.get_mut(&prompt) else {
             return;
         };
-        self.due.remove(&(seen.due, prompt));
-        (seen.holds, seen.due) = seen.holds(now);
-        self.due.insert((seen.due, prompt));
-        match seen.holds {
-            Holds::Nothing => {}
-            Holds::Room(usage) => {
-                for (key, usage) in usage.at(seen.upstream, seen.backup) {
+        self.due.remove(&(entry.expires_at, prompt));
+        (entry.reservation, entry.expires_at) = entry.reservation_at(now);
+        self.due.insert((entry.expires_at, prompt));
+        match entry.reservation {
+            Reservation::Nothing => {}
+            Reservation::Resources(usage) => {
+                for (key, usage) in usage.split(entry.upstream, entry.backup) {
                     if let Some(entry) = self.usages.entry(key) {
                         entry.or_default().add(usage);
                     }
                 }
             }
-            Holds::Turn => {
-                let pool = seen.sighting.pool.clone();
+            Reservation::QueueSlot => {
+                let pool = entry.sighting.pool.clone();
                 self.waiting
                     .entry(pool)
                     .or_default()
-                    .insert((seen.at, prompt));
+                    .insert((entry.at, prompt));
             }
         }
     }
 
-    /// Gives back what a stream holds.
+    /// Releases the reservation of a stream.
     fn release(&mut self, prompt: u64) {
-        let Some(seen) = self.seen.get_mut(&prompt) else {
+        let Some(entry) = self.entries.get_mut(&prompt) else {
             return;
         };
-        match std::mem::replace(&mut seen.holds, Holds::Nothing) {
-            Holds::Nothing => {}
-            Holds::Room(usage) => {
-                for (key, usage) in usage.at(seen.upstream, seen.backup) {
+        match std::mem::replace(&mut entry.reservation, Reservation::Nothing) {
+            Reservation::Nothing => {}
+            Reservation::Resources(usage) => {
+                for (key, usage) in usage.split(entry.upstream, entry.backup) {
                     if let Some(entry) = self.usages.get_mut(key) {
                         entry.subtract(usage);
                     }
                 }
             }
-            Holds::Turn => {
-                if let Some(waiting) = self.waiting.get_mut(&seen.sighting.pool) {
-                    waiting.remove(&(seen.at, prompt));
+            Reservation::QueueSlot => {
+                if let Some(waiting) = self.waiting.get_mut(&entry.sighting.pool) {
+                    waiting.remove(&(entry.at, prompt));
                 }
             }
         }
     }
 
-    fn forget(&mut self, prompt: u64) {
+    fn remove(&mut self, prompt: u64) {
         self.release(prompt);
-        if let Some(seen) = self.seen.remove(&prompt) {
-            self.due.remove(&(seen.due, prompt));
+        if let Some(entry) = self.entries.remove(&prompt) {
+            self.due.remove(&(entry.expires_at, prompt));
         }
     }
 
-    /// Forgets the older half, by time.
-    fn forget_older(&mut self, now: Time) {
-        let old = |seen: &Seen| now.since(seen.at) >= KEPT_MS / 2;
+    /// Removes records older than half the retention time.
+    fn remove_older(&mut self, now: Time) {
+        let is_old = |entry: &Entry| now.since(entry.at) >= RETENTION_MS / 2;
         let old: Vec<u64> = self
-            .seen
+            .entries
             .iter()
-            .filter(|(_, seen)| old(seen))
+            .filter(|(_, entry)| is_old(entry))
             .map(|(prompt, _)| *prompt)
             .collect();
         for prompt in old {
-            self.forget(prompt);
+            self.remove(prompt);
         }
     }
 }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,12 +1,13 @@
-//! Tokens and answers: what is accepted from upstreams and given to callers.
+//! Tokens and answers that upstreams send and callers receive.
 
 use super::*;
 
 impl Core {
-    /// The caller's connection is closed. A stream that has begun is left to the engine for a
-    /// while, since its caller may come back with a cursor.
-    pub(crate) fn caller_gone(&mut self, caller: request::Caller) {
-        self.early.retain(|early| early.submission.caller != caller);
+    /// Handles the end of a caller's connection. The stream of a generation that has begun is not
+    /// cancelled: the engine keeps it for a while, since its caller may resume it with a cursor.
+    pub(crate) fn handle_caller_gone(&mut self, caller: request::Caller) {
+        self.deferred
+            .retain(|deferred| deferred.submission.caller != caller);
         let Some(key) = self.callers.get(&caller).copied() else {
             return;
         };
@@ -15,35 +16,35 @@
         let resumable = request.position() > 0 && request.work.relay().is_none();
         for attempt in self.requests[key].attempts.clone() {
             if resumable {
-                self.close(attempt);
+                self.remove_attempt(attempt);
                 self.effects.push(Effect::Detach(attempt));
             } else {
                 self.cancel(attempt);
             }
         }
         if let Some(request) = self.remove(key) {
-            self.note(&request, effect::What::Left, None);
-            self.tell_over(&request, sighting::Stage::Left);
-            self.pump(request.service.pool());
+            self.log_step(&request, effect::Step::Left, None);
+            self.gossip_end(&request, sighting::Stage::Left);
+            self.dispatch_queued(request.service.pool());
         }
     }
 
-    /// A generation's stream ended as it should.
-    pub(crate) fn finished(&mut self, key: attempt::Key, position: u32, reason: String) {
+    /// Handles the normal end of a generation's stream.
+    pub(crate) fn handle_finished(&mut self, key: attempt::Key, position: u32, reason: String) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
         };
         let (owner, attempt_upstream) = (attempt.request, attempt.upstream);
         let request = &self.requests[owner];
-        let foreign = request.skip == position && request.digest != request.skip_digest;
-        if position != request.position() || request.skip > position || foreign {
+        let is_mismatch = request.skip == position && request.digest != request.skip_digest;
+        if position != request.position() || request.skip > position || is_mismatch {
             self.count(Counter::FrameGap);
             self.abandon(key, counter::Reason::Gap);
             return;
         }
-        self.heard(key);
-        self.close(key);
+        self.record_activity(key);
+        self.remove_attempt(key);
         for other in self.requests[owner].attempts.clone() {
             self.cancel(other);
         }
@@ -51,24 +52,24 @@
             return;
         };
         self.count(Counter::Answered);
-        self.acquit(request.print);
-        self.note(&request, effect::What::Answered, Some(attempt_upstream));
+        self.clear_suspicion(request.print);
+        self.log_step(&request, effect::Step::Answered, Some(attempt_upstream));
         self.effects.push(Effect::Finish {
             caller: request.caller,
             position,
             reason,
         });
-        self.pump(request.service.pool());
+        self.dispatch_queued(request.service.pool());
     }
 
-    /// A plain service answered.
-    pub(crate) fn replied(&mut self, key: attempt::Key, status: u16, body: Vec<u8>) {
-        let Some(attempt) = self.close(key) else {
+    /// Handles the response of a unary service.
+    pub(crate) fn handle_reply(&mut self, key: attempt::Key, status: u16, body: Vec<u8>) {
+        let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
             return;
         };
         if let Some(upstream) = self.upstreams.get_mut(attempt.upstream) {
-            upstream.hear(self.now);
+            upstream.record_activity(self.now);
         }
         for other in self.requests[attempt.request].attempts.clone() {
             self.cancel(other);
@@ -77,18 +78,24 @@
             return;
         };
         self.count(Counter::Answered);
-        self.acquit(request.print);
-        self.note(&request, effect::What::Answered, Some(attempt.upstream));
+        self.clear_suspicion(request.print);
+        self.log_step(&request, effect::Step::Answered, Some(attempt.upstream));
         self.effects.push(Effect::Reply {
             body,
             caller: request.caller,
             status,
         });
-        self.pump(request.service.pool());
+        self.dispatch_queued(request.service.pool());
     }
 
-    /// Tokens arrived on a stream, the first of them at `position` of the whole answer.
-    pub(crate) fn tokens(&mut self, key: attempt::Key, position: u32, mut pieces: Vec<Piece>) {
+    /// Handles tokens of a stream, the first of which is at `position` in the whole answer. Tokens
+    /// that were delivered before are dropped; a gap or a mismatch abandons the attempt.
+    pub(crate) fn handle_tokens(
+        &mut self,
+        key: attempt::Key,
+        position: u32,
+        mut tokens: Vec<OutputToken>,
+    ) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
@@ -97,8 +104,9 @@
         let upstream = self.upstreams[attempt.upstream].life.id;
         let request = &self.requests[owner];
         let next = request.position();
-        let repeated = pieces.len().min(next.saturating_sub(position) as usize);
-        if position > next || !repeats(&request.delivered, position, &pieces[..repeated]) {
+        let repeated = tokens.len().min(next.saturating_sub(position) as usize);
+        if position > next || !matches_delivered(&request.delivered, position, &tokens[..repeated])
+        {
             self.count(Counter::FrameGap);
             self.abandon(key, counter::Reason::Gap);
             return;
@@ -107,10 +115,10 @@
             let count = repeated as u64;
             self.effects
                 .push(Effect::Count(Counter::FrameRepeated, count));
-            pieces.drain(..repeated);
+            tokens.drain(..repeated);
         }
-        self.heard(key);
-        if pieces.is_empty() {
+        self.record_activity(key);
+        if tokens.is_empty() {
             return;
         }
         if self.requests[owner].attempts.len() > 1 {
@@ -120,68 +128,76 @@
                 }
             }
         }
-        let current = self.requests[owner].attempts == [key];
-        if !self.check(current, Invariant::SameGeneration) {
+        let is_only_attempt = self.requests[owner].attempts == [key];
+        if !self.check_invariant(is_only_attempt, Invariant::SameGeneration) {
             self.fail(owner, Kind::Internal);
             return;
         }
-        self.accept(owner, number, upstream, pieces);
+        self.deliver(owner, number, upstream, tokens);
     }
 
-    /// Adds tokens to a request and gives the caller those that it does not have.
-    fn accept(&mut self, key: request::Key, number: u32, upstream: u64, mut pieces: Vec<Piece>) {
+    /// Adds tokens to a request and sends the caller those that it does not have.
+    fn deliver(
+        &mut self,
+        key: request::Key,
+        number: u32,
+        upstream: u64,
+        mut tokens: Vec<OutputToken>,
+    ) {
         let request = &mut self.requests[key];
         let first = request.position();
-        for piece in &pieces {
+        for token in &tokens {
             if request.position() == request.skip && request.digest != request.skip_digest {
                 self.fail(key, Kind::CannotResume);
                 return;
             }
-            request.delivered.push(piece.token);
-            request.digest = request.digest.push(piece.token);
+            request.delivered.push(token.id);
+            request.digest = request.digest.push(token.id);
         }
         if request.position() <= request.skip {
             return;
         }
         let known = request.skip.saturating_sub(first);
-        pieces.drain(..known as usize);
+        tokens.drain(..known as usize);
         let position = first + known;
         let cursor = request.cursor(number, upstream);
         let caller = request.caller;
-        let contiguous = position as usize + pieces.len() == request.delivered.len();
-        if !self.check(contiguous, Invariant::ContiguousTokens) {
+        let is_contiguous = position as usize + tokens.len() == request.delivered.len();
+        if !self.check_invariant(is_contiguous, Invariant::ContiguousTokens) {
             self.fail(key, Kind::Internal);
             return;
         }
         self.effects
-            .push(Effect::Count(Counter::Tokens, pieces.len() as u64));
+            .push(Effect::Count(Counter::Tokens, tokens.len() as u64));
         self.effects.push(Effect::Deliver {
             caller,
             cursor: cursor.encode(&self.secret),
-            pieces,
             position,
+            tokens,
         });
     }
 
-    /// Notes that something came from the upstream of an attempt.
-    pub(crate) fn heard(&mut self, key: attempt::Key) {
+    /// Records that data arrived from the upstream of an attempt.
+    pub(crate) fn record_activity(&mut self, key: attempt::Key) {
         let attempt = &mut self.attempts[key];
         let upstream = &mut self.upstreams[attempt.upstream];
         if attempt.started {
-            upstream.detector.observe(self.now.since(attempt.last));
+            upstream
+                .detector
+                .observe(self.now.since(attempt.last_event_at));
         }
-        attempt.began.get_or_insert(self.now);
-        attempt.last = self.now;
+        attempt.first_event_at.get_or_insert(self.now);
+        attempt.last_event_at = self.now;
         attempt.started = true;
         attempt.suspected = false;
-        upstream.hear(self.now);
+        upstream.record_activity(self.now);
     }
 }
 
-/// Whether `pieces` at `position` are the tokens that were delivered there.
-fn repeats(delivered: &[u32], position: u32, pieces: &[Piece]) -> bool {
+/// Whether `tokens` equal the tokens that were delivered at `position`.
+fn matches_delivered(delivered: &[u32], position: u32, tokens: &[OutputToken]) -> bool {
     delivered[(position as usize).min(delivered.len())..]
         .iter()
-        .zip(pieces)
-        .all(|(token, piece)| *token == piece.token)
+        .zip(tokens)
+        .all(|(id, token)| *id == token.id)
 }
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -1,263 +1,277 @@
-//! Requests that were at upstreams when these ended: when one is held back, refused for good, or sent apart from others.
+//! Tracking of requests that crash their upstreams ("poison requests"): which ones to delay, quarantine or isolate.
 //!
-//! Answers one load pattern: a request that ends each upstream that begins to run it, and that its caller brings again, with
-//! others of its kind, at any instance. Its limit is that of the users: after the third end, and the time in which instances hear
-//! of each other, three more sendings in all.
+//! Guards against a request that crashes every upstream that starts running it, and that its caller keeps retrying, along
+//! with others like it, at any instance. The users' limit is three more sends in total, after the third crash and the
+//! time that instances need to hear of it from each other.
 
 use super::*;
 
-/// Time for which the answer to the question whether an upstream has ended is waited for, in milliseconds: longer than a
-/// connection is tried for.
-const CHECK_MS: u64 = 400;
+/// Time to wait for the check whether an upstream has crashed, in milliseconds. Exceeds the connect timeout of that check.
+const CHECK_TIMEOUT_MS: u64 = 400;
 
-/// Time for which an answer comes from an upstream before its end tells less of the request, in milliseconds: such requests ended
-/// upstreams 0.06 to 0.11 s behind their first token.
-const RAN_MS: u64 = 500;
+/// Time that a response must have been streaming for a crash to count less against its request, in milliseconds. Poison
+/// requests crashed upstreams 0.06 to 0.11 s after their first token.
+const LONG_RUN_MS: u64 = 500;
 
-/// Time for which a broken connection may still turn out to have been the end of its upstream, in milliseconds: by then the list
-/// shows whether it was born anew.
+/// Time within which a broken connection may still prove to be the crash of its upstream, in milliseconds. By then the
+/// list shows whether the upstream was restarted.
 const PENDING_MS: u64 = 8_000;
 
-/// Ends of upstreams from which on a request is kept apart from others.
-const APART: usize = 2;
+/// Crashes from which on a request is kept apart from all others.
+const ISOLATION_CRASHES: usize = 2;
 
-/// Connections to an upstream that broke, of which it is not known whether it ended.
+/// Broken connections to an upstream that is not known to have crashed.
 #[derive(Clone, Debug)]
 struct Pending {
-    /// Whether somebody listened at its address behind the last of them: it lives, or was born anew.
+    /// Whether its address accepted a connection after the last one broke: it is alive, or was restarted.
     answered: bool,
-    /// When the first broke.
-    since: Time,
-    /// The requests that were sent on them.
-    there: BTreeMap<Print, quarantine::Part>,
+    /// When the first connection broke.
+    broken_at: Time,
+    /// Requests that were sent on these connections.
+    requests: BTreeMap<RequestFingerprint, quarantine::Involvement>,
 }
 
-/// A request that is not sent on before it is known whether its last upstream ended.
+/// Request whose retry waits for the check whether its last upstream crashed.
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    life: Life,
+    life: Incarnation,
     reason: counter::Reason,
     request: request::Key,
     until: Time,
 }
 
-/// What an instance believes of requests that end their upstreams.
+/// What this instance knows of requests that crash their upstreams.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Suspicion {
-    account: Account,
-    guilty: BTreeMap<Print, BTreeSet<Life>>,
+pub(crate) struct CrashSuspects {
+    account: CrashHistory,
     held: Vec<Held>,
-    pending: HashMap<Life, Pending>,
-    /// Ends that this instance saw itself.
-    seen: BTreeSet<Life>,
+    pending: HashMap<Incarnation, Pending>,
+    quarantined: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>>,
+    /// Crashes that this instance observed itself.
+    witnessed: BTreeSet<Incarnation>,
 }
 
-impl Suspicion {
-    /// Whether this instance saw one of some lives end itself.
-    fn saw(&self, lives: &BTreeSet<Life>) -> bool {
-        lives.iter().any(|life| self.seen.contains(life))
+impl CrashSuspects {
+    /// Whether this instance observed any of the crashes itself.
+    fn has_witnessed(&self, lives: &BTreeSet<Incarnation>) -> bool {
+        lives.iter().any(|life| self.witnessed.contains(life))
     }
 
-    /// Guilty requests of whose ends this instance saw one itself.
-    fn own_guilty(&self) -> BTreeSet<Print> {
-        let own = self.guilty.iter().filter(|(_, lives)| self.saw(lives));
+    /// Quarantined requests for which this instance observed at least one of the crashes.
+    fn witnessed_quarantined(&self) -> BTreeSet<RequestFingerprint> {
+        let own = self
+            .quarantined
+            .iter()
+            .filter(|(_, lives)| self.has_witnessed(lives));
         own.map(|(print, _)| *print).collect()
     }
 
-    /// Whether a request was at any end, or may have been.
-    fn knows(&self, print: Print) -> bool {
-        self.ends(print) > 0
+    /// Whether a request was involved in a crash, confirmed or pending.
+    fn is_suspect(&self, print: RequestFingerprint) -> bool {
+        self.crash_count(print) > 0
     }
 
-    /// Ends at which a request was, those with it that are not certain.
-    fn ends(&self, print: Print) -> usize {
+    /// Crashes in which a request was involved, including pending ones.
+    fn crash_count(&self, print: RequestFingerprint) -> usize {
         let pending = self.pending.values().filter(|pending| !pending.answered);
-        let pending = pending.filter(|pending| pending.there.contains_key(&print));
-        self.account.lives(print).count() + pending.count()
+        let pending = pending.filter(|pending| pending.requests.contains_key(&print));
+        self.account.crashes_of(print).count() + pending.count()
     }
 
-    /// Whether anything is known or to be found out.
+    /// Whether there are neither recorded crashes nor pending checks.
     fn is_idle(&self) -> bool {
         self.account.is_empty() && self.pending.is_empty()
     }
 }
 
 impl Core {
-    /// Whether a request is refused, since it ends the upstreams that run it.
-    pub(crate) fn is_guilty(&self, print: Print) -> bool {
-        self.suspicion.guilty.contains_key(&print)
+    /// Whether a request is refused because it crashes its upstreams.
+    pub(crate) fn is_quarantined(&self, print: RequestFingerprint) -> bool {
+        self.crash_suspects.quarantined.contains_key(&print)
     }
 
-    /// Whether a request was at an upstream that ended.
-    pub(crate) fn is_suspect(&self, print: Print) -> bool {
-        !self.suspicion.is_idle() && self.suspicion.knows(print)
+    /// Whether a request was at an upstream that crashed, or may have.
+    pub(crate) fn is_crash_suspect(&self, print: RequestFingerprint) -> bool {
+        !self.crash_suspects.is_idle() && self.crash_suspects.is_suspect(print)
     }
 
-    /// The requests that are refused.
-    pub fn quarantined(&self) -> impl Iterator<Item = Print> {
-        self.suspicion.guilty.keys().copied()
+    /// Requests that are refused at present.
+    pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
+        self.crash_suspects.quarantined.keys().copied()
     }
 
-    /// The unplanned ends of upstreams that this instance knows.
-    pub fn account(&self) -> &Account {
-        &self.suspicion.account
+    /// Unplanned ends of upstreams that this instance knows of.
+    pub fn account(&self) -> &CrashHistory {
+        &self.crash_suspects.account
     }
 
-    /// The connection of an attempt broke: its upstream may have ended. That one which leaves ends says nothing of
-    /// what it ran.
-    pub(crate) fn suspect(&mut self, attempt: &Attempt) {
+    /// Handles a broken connection, which may mean that the upstream crashed. The end of an upstream that is shutting down
+    /// says nothing about the requests that it ran.
+    pub(crate) fn suspect_crash(&mut self, attempt: &Attempt) {
         let upstream = &self.upstreams[attempt.upstream];
-        if self.settings.quarantine == Guilt::Off || upstream.leaves(self.now) {
+        if self.settings.quarantine == QuarantineRule::Off || upstream.is_leaving(self.now) {
             return;
         }
         let (address, life) = (upstream.address, upstream.life);
         let print = self.requests[attempt.request].print;
-        let ran_ms = attempt.began.map_or(0, |began| self.now.since(began));
-        let part = if ran_ms >= RAN_MS {
-            quarantine::Part::Ran
+        let running_ms = attempt
+            .first_event_at
+            .map_or(0, |began| self.now.since(began));
+        let involvement = if running_ms >= LONG_RUN_MS {
+            quarantine::Involvement::Ran
         } else {
-            quarantine::Part::Fresh
+            quarantine::Involvement::Fresh
         };
-        if self.suspicion.account.has(life) {
-            self.note_end(life, &[(print, part)].into());
+        if self.crash_suspects.account.contains(life) {
+            self.record_crash(life, &[(print, involvement)].into());
             return;
         }
         let now = self.now;
-        let pending = self.suspicion.pending.entry(life);
+        let pending = self.crash_suspects.pending.entry(life);
         let pending = pending.or_insert_with(|| Pending {
             answered: true,
-            since: now,
-            there: BTreeMap::new(),
+            broken_at: now,
+            requests: BTreeMap::new(),
         });
-        pending.there.insert(print, part);
+        pending.requests.insert(print, involvement);
         if std::mem::replace(&mut pending.answered, false) {
-            self.decide(effect::Quarantine::Check { address, life });
+            self.push_quarantine_effect(effect::Quarantine::CheckCrash { address, life });
         }
     }
 
-    /// It is known whether an upstream ended whose connections broke.
-    pub(crate) fn checked(&mut self, life: Life, ended: bool) {
+    /// Handles the result of the check whether an upstream with broken connections has crashed.
+    pub(crate) fn apply_crash_check(&mut self, life: Incarnation, ended: bool) {
         if ended {
-            self.ended(life);
-        } else if let Some(pending) = self.suspicion.pending.get_mut(&life) {
+            self.confirm_crash(life);
+        } else if let Some(pending) = self.crash_suspects.pending.get_mut(&life) {
             pending.answered = true;
         }
-        let of_life = |held: &mut Held| held.life == life;
-        let held: Vec<Held> = self.suspicion.held.extract_if(.., of_life).collect();
+        let is_same_life = |held: &mut Held| held.life == life;
+        let held: Vec<Held> = self
+            .crash_suspects
+            .held
+            .extract_if(.., is_same_life)
+            .collect();
         for held in held {
-            self.go_on(held.request, held.reason);
+            self.retry_request(held.request, held.reason);
         }
     }
 
-    /// An upstream has ended without a word; what was sent on connections that broke was there.
-    pub(crate) fn ended(&mut self, life: Life) {
-        if let Some(pending) = self.suspicion.pending.remove(&life) {
-            self.note_end(life, &pending.there);
+    /// Records an unplanned end of an upstream, with the requests whose connections to it broke.
+    pub(crate) fn confirm_crash(&mut self, life: Incarnation) {
+        if let Some(pending) = self.crash_suspects.pending.remove(&life) {
+            self.record_crash(life, &pending.requests);
         }
     }
 
-    fn note_end(&mut self, life: Life, there: &BTreeMap<Print, quarantine::Part>) {
-        let mut news = Account::default();
-        for (print, part) in there {
-            if self.suspicion.account.add(life, *print, *part, self.now) {
-                news.add(life, *print, *part, self.now);
+    fn record_crash(
+        &mut self,
+        life: Incarnation,
+        requests: &BTreeMap<RequestFingerprint, quarantine::Involvement>,
+    ) {
+        let (now, account) = (self.now, &mut self.crash_suspects.account);
+        let mut news = CrashHistory::default();
+        for (print, involvement) in requests {
+            if account.record(life, *print, *involvement, now) {
+                news.record(life, *print, *involvement, now);
             }
         }
-        self.suspicion.seen.insert(life);
-        self.tell_ends(news);
+        self.crash_suspects.witnessed.insert(life);
+        self.publish_crashes(news);
     }
 
-    /// Another instance, or the store, told of ends of upstreams.
-    pub(crate) fn crashed(&mut self, told: &Account) {
-        if self.settings.quarantine == Guilt::Off {
+    /// Merges crashes reported by another instance or by the store.
+    pub(crate) fn merge_crashes(&mut self, reported: &CrashHistory) {
+        if self.settings.quarantine == QuarantineRule::Off {
             return;
         }
-        let news = self.suspicion.account.merge(told);
-        if !news.is_empty() {
-            self.judge();
+        let changes = self.crash_suspects.account.merge(reported);
+        if !changes.is_empty() {
+            self.update_quarantine();
         }
     }
 
-    /// A request was answered whole: it ends no upstream.
-    pub(crate) fn acquit(&mut self, print: Print) {
-        if !self.is_suspect(print) {
+    /// Clears a request of all crashes, as it was answered completely.
+    pub(crate) fn clear_suspicion(&mut self, print: RequestFingerprint) {
+        if !self.is_crash_suspect(print) {
             return;
         }
-        for pending in self.suspicion.pending.values_mut() {
-            pending.there.remove(&print);
+        for pending in self.crash_suspects.pending.values_mut() {
+            pending.requests.remove(&print);
         }
-        let news = self.suspicion.account.clear(print);
-        self.tell_ends(news);
+        let changes = self.crash_suspects.account.clear(print);
+        self.publish_crashes(changes);
     }
 
-    /// Tells other instances what this one saw, and draws the conclusions.
-    fn tell_ends(&mut self, news: Account) {
-        if !news.is_empty() {
-            self.decide(effect::Quarantine::Tell(news));
-            self.judge();
+    /// Publishes what this instance observed, and updates the quarantine.
+    fn publish_crashes(&mut self, changes: CrashHistory) {
+        if !changes.is_empty() {
+            self.push_quarantine_effect(effect::Quarantine::Gossip(changes));
+            self.update_quarantine();
         }
     }
 
-    fn decide(&mut self, effect: effect::Quarantine) {
+    fn push_quarantine_effect(&mut self, effect: effect::Quarantine) {
         self.effects.push(Effect::Quarantine(effect));
     }
 
-    /// Finds out who is guilty by all that is known, and gives up on what is.
-    fn judge(&mut self) {
-        let own = self.suspicion.own_guilty();
-        let suspicion = &mut self.suspicion;
+    /// Recomputes the set of quarantined requests from all known crashes, and refuses those that are new in it.
+    fn update_quarantine(&mut self) {
+        let own = self.crash_suspects.witnessed_quarantined();
+        let suspects = &mut self.crash_suspects;
         let rule = self.settings.quarantine;
-        suspicion.account.trim(rule, self.now);
-        let account = &suspicion.account;
-        suspicion.seen.retain(|life| account.has(*life));
-        let before = std::mem::replace(&mut suspicion.guilty, account.guilty(rule));
-        let found: Vec<Print> = suspicion.guilty.keys().copied().collect();
-        let found = found
+        suspects.account.evict(rule, self.now);
+        let account = &suspects.account;
+        suspects.witnessed.retain(|life| account.contains(*life));
+        let previous = std::mem::replace(&mut suspects.quarantined, account.quarantined(rule));
+        let added: Vec<RequestFingerprint> = suspects.quarantined.keys().copied().collect();
+        let added = added
             .into_iter()
-            .filter(|print| !before.contains_key(print));
-        for print in found.collect::<Vec<Print>>() {
-            self.condemn(print);
+            .filter(|print| !previous.contains_key(print));
+        for print in added.collect::<Vec<RequestFingerprint>>() {
+            self.quarantine(print);
         }
-        let freed = |print: &&Print| !self.suspicion.guilty.contains_key(print);
-        let freed: Vec<Print> = before.keys().filter(freed).copied().collect();
-        for print in freed {
-            // Only who kept it removes it: else each of hundreds would write when one lapses.
+        let released =
+            |print: &&RequestFingerprint| !self.crash_suspects.quarantined.contains_key(print);
+        let released: Vec<RequestFingerprint> = previous.keys().filter(released).copied().collect();
+        for print in released {
+            // Only an instance that stored the entry deletes it; otherwise hundreds would write when one expires.
             let own = own.contains(&print);
-            self.decide(effect::Quarantine::Free { own, print });
+            self.push_quarantine_effect(effect::Quarantine::Release { own, print });
         }
-        let account = self.suspicion.account.clone();
-        self.decide(effect::Quarantine::Keep(account));
+        let account = self.crash_suspects.account.clone();
+        self.push_quarantine_effect(effect::Quarantine::Publish(account));
     }
 
-    /// A request is guilty from now on: nothing of it is sent any more, and what an upstream has not yet begun is taken back.
-    fn condemn(&mut self, print: Print) {
+    /// Quarantines a request: it is not sent any more, and attempts that upstreams have not started are withdrawn.
+    fn quarantine(&mut self, print: RequestFingerprint) {
         self.count(Counter::Quarantined);
-        let suspicion = &self.suspicion;
-        let own = suspicion.saw(&suspicion.guilty[&print]);
-        let ends = suspicion.account.of(print);
-        self.decide(effect::Quarantine::Refuse { ends, own, print });
-        let tries: Vec<request::Key> = self
+        let suspects = &self.crash_suspects;
+        let own = suspects.has_witnessed(&suspects.quarantined[&print]);
+        let ends = suspects.account.evidence_for(print);
+        self.push_quarantine_effect(effect::Quarantine::Refuse { ends, own, print });
+        let affected: Vec<request::Key> = self
             .requests
             .iter()
             .filter(|(_, request)| request.print == print)
             .map(|(key, _)| key)
             .collect();
-        for key in tries {
-            self.refuse_guilty(key);
+        for key in affected {
+            self.refuse_quarantined(key);
         }
     }
 
-    /// Gives up on a request that ends its upstreams, unless that has been done.
-    pub(crate) fn refuse_guilty(&mut self, key: request::Key) {
+    /// Fails a request that crashes its upstreams, unless it has already been failed.
+    pub(crate) fn refuse_quarantined(&mut self, key: request::Key) {
         if !self.requests.contains_key(key) {
             return;
         }
         self.give_up(key, Kind::Quarantined, Kind::EndsUpstreams);
     }
 
-    /// Sends a request on whose last upstream was lost, once it is known whether that may be its fault: the answer takes
-    /// milliseconds, and is waited for only by a request that it may convict.
-    pub(crate) fn go_on_checked(
+    /// Retries a request after the loss of its upstream. One that another crash would quarantine first waits for the check
+    /// whether the upstream crashed, which takes milliseconds.
+    pub(crate) fn retry_after_crash_check(
         &mut self,
         key: request::Key,
         upstream: upstream::Key,
@@ -269,64 +283,67 @@
         let print = request.print;
         let life = self.upstreams.get(upstream).map(|upstream| upstream.life);
         let pending = life.filter(|life| {
-            let pending = self.suspicion.pending.get(life);
+            let pending = self.crash_suspects.pending.get(life);
             pending.is_some_and(|pending| !pending.answered)
         });
         match pending {
-            Some(life) if self.suspicion.ends(print) >= quarantine::GUILTY => {
-                self.suspicion.held.push(Held {
+            Some(life)
+                if self.crash_suspects.crash_count(print) >= quarantine::QUARANTINE_THRESHOLD =>
+            {
+                self.crash_suspects.held.push(Held {
                     life,
                     reason,
                     request: key,
-                    until: self.now.after(CHECK_MS),
+                    until: self.now.after(CHECK_TIMEOUT_MS),
                 });
             }
-            _ => self.go_on(key, reason),
+            _ => self.retry_request(key, reason),
         }
     }
 
-    fn go_on(&mut self, key: request::Key, reason: counter::Reason) {
+    fn retry_request(&mut self, key: request::Key, reason: counter::Reason) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
         if request.work.relay().is_some() {
-            self.relay_again(key, reason);
+            self.retry_relay(key, reason);
         } else {
             self.recover(key, reason);
         }
     }
 
-    /// Time passed: what waits for an answer that does not come goes on, connections that broke long ago say nothing more,
-    /// and ends lapse.
-    pub(crate) fn watch_suspicion(&mut self) {
+    /// Retries requests whose crash check timed out, drops old broken connections, and expires recorded crashes.
+    pub(crate) fn expire_crash_suspects(&mut self) {
         let now = self.now;
-        if self.suspicion.account.lapses(now) {
-            self.judge();
+        if self.crash_suspects.account.has_expired(now) {
+            self.update_quarantine();
         }
-        let pending = &mut self.suspicion.pending;
-        pending.retain(|_, pending| now.since(pending.since) < PENDING_MS);
-        let due = |held: &mut Held| held.until <= now;
-        let due: Vec<Held> = self.suspicion.held.extract_if(.., due).collect();
+        let pending = &mut self.crash_suspects.pending;
+        pending.retain(|_, pending| now.since(pending.broken_at) < PENDING_MS);
+        let is_due = |held: &mut Held| held.until <= now;
+        let due: Vec<Held> = self.crash_suspects.held.extract_if(.., is_due).collect();
         for held in due {
-            self.go_on(held.request, held.reason);
+            self.retry_request(held.request, held.reason);
         }
     }
 
-    /// Requests of this instance at an upstream that a request had better be sent apart from: one that was at an end from all that
-    /// were, so that the next end tells them from each other; any other from those that were at two, so that it is in no
-    /// third with them.
-    pub(crate) fn suspects_beside(&self, print: Print, candidate: upstream::Key) -> usize {
-        if self.suspicion.is_idle() {
+    /// Number of this instance's requests at an upstream from which a request should be kept apart. For one that was involved
+    /// in a crash these are all that were, so that the next crash tells them apart; for any other, those involved in two, so
+    /// that it is not involved in their third.
+    pub(crate) fn suspects_at(&self, print: RequestFingerprint, candidate: upstream::Key) -> usize {
+        if self.crash_suspects.is_idle() {
             return 0;
         }
-        let from = if self.suspicion.knows(print) {
+        let min_crashes = if self.crash_suspects.is_suspect(print) {
             1
         } else {
-            APART
+            ISOLATION_CRASHES
         };
         let attempts = self.upstreams[candidate].attempts.iter();
         let others = attempts.map(|attempt| self.requests[self.attempts[*attempt].request].print);
-        let beside = others.filter(|other| *other != print && self.suspicion.ends(*other) >= from);
-        beside.count()
+        let suspects = others.filter(|other| {
+            *other != print && self.crash_suspects.crash_count(*other) >= min_crashes
+        });
+        suspects.count()
     }
 }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,35 +1,34 @@
-//! What is believed to be in use at each upstream: by this instance's own requests, and by those that
-//! other instances told of.
+//! Estimated usage of each upstream, by this instance's requests and by those that other instances reported.
 
 use super::*;
 
-/// What is believed to be in use at an upstream.
+/// Estimated usage of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Usage {
-    /// Prompts that are being read.
-    pub reading: u32,
-    /// Tokens of the requests whose prompts are being read.
-    pub reading_tokens: u32,
-    /// Requests that run or wait.
+    /// Tokens of the requests in prefill.
+    pub prefill_tokens: u32,
+    /// Prompts in prefill.
+    pub prefilling: u32,
+    /// Requests running or queued.
     pub running: u32,
-    /// Tokens in memory, copies of other upstreams' streams with them.
+    /// Tokens in memory, including copies of streams of other upstreams.
     pub tokens: u32,
 }
 
 impl Usage {
-    /// What one request uses.
-    pub fn new(reading: bool, tokens: u32) -> Self {
-        let reads = reading && tokens > 0;
+    /// Usage by one request.
+    pub fn new(is_prefilling: bool, tokens: u32) -> Self {
+        let counts_prefill = is_prefilling && tokens > 0;
         Self {
-            reading: u32::from(reads),
-            reading_tokens: if reads { tokens } else { 0 },
+            prefill_tokens: if counts_prefill { tokens } else { 0 },
+            prefilling: u32::from(counts_prefill),
             running: 1,
             tokens,
         }
     }
 
-    /// What one request uses at its upstream, and the memory of its copy.
-    pub fn at(
+    /// Splits the usage of one request between its upstream and the one that keeps its copy, which uses memory only.
+    pub fn split(
         self,
         upstream: Option<upstream::Key>,
         backup: Option<upstream::Key>,
@@ -38,43 +37,43 @@
             tokens: self.tokens,
             ..Self::default()
         };
-        let places = [(upstream, self), (backup, copy)];
-        places
+        let usages = [(upstream, self), (backup, copy)];
+        usages
             .into_iter()
             .filter_map(|(key, usage)| Some((key?, usage)))
     }
 
-    /// Adds what others use.
+    /// Adds another usage.
     pub fn add(&mut self, other: Self) {
-        self.reading += other.reading;
-        self.reading_tokens += other.reading_tokens;
+        self.prefill_tokens += other.prefill_tokens;
+        self.prefilling += other.prefilling;
         self.running += other.running;
         self.tokens += other.tokens;
     }
 
-    /// Takes out what was added.
+    /// Subtracts a usage that was added before.
     pub fn subtract(&mut self, other: Self) {
-        self.reading -= other.reading;
-        self.reading_tokens -= other.reading_tokens;
+        self.prefill_tokens -= other.prefill_tokens;
+        self.prefilling -= other.prefilling;
         self.running -= other.running;
         self.tokens -= other.tokens;
     }
 }
 
-/// What this instance's own requests use, at every upstream that they use.
+/// Usage by this instance's own requests, by upstream.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Own(SecondaryMap<upstream::Key, Usage>);
+pub(crate) struct OwnUsage(SecondaryMap<upstream::Key, Usage>);
 
 impl Core {
-    /// What this instance's own requests use now.
-    pub(crate) fn own_usage(&self) -> Own {
-        let mut own = Own::default();
+    /// Computes the usage by this instance's own requests.
+    pub(crate) fn own_usage(&self) -> OwnUsage {
+        let mut own = OwnUsage::default();
         for attempt in self.attempts.values() {
             let Some(relay) = self.requests[attempt.request].work.relay() else {
                 continue;
             };
             let usage = Usage::new(!attempt.started, relay.tokens);
-            for (key, usage) in usage.at(Some(attempt.upstream), attempt.backup) {
+            for (key, usage) in usage.split(Some(attempt.upstream), attempt.backup) {
                 if let Some(entry) = own.0.entry(key) {
                     entry.or_default().add(usage);
                 }
@@ -83,8 +82,8 @@
         own
     }
 
-    /// What is believed to be in use at an upstream, by this instance and others.
-    pub(crate) fn usage(&self, own: &Own, key: upstream::Key) -> Usage {
+    /// Estimated usage of an upstream by this instance and others.
+    pub(crate) fn usage(&self, own: &OwnUsage, key: upstream::Key) -> Usage {
         let mut usage = self.sightings.usage(key);
         usage.add(own.0.get(key).copied().unwrap_or_default());
         usage
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -1,35 +1,35 @@
-//! Which of a pool's upstreams are given work where they are of several versions.
+//! Selection of the active version in pools whose upstreams run several versions.
 //!
-//! The load that it answers: upstreams of a new version enter beside those of the one in force, in the same list, minutes before
-//! anybody may send them work, and some versions fail or are many times slower. Without a bound they have their full part of all
-//! requests from their first entry on.
+//! Upstreams of a new version are listed beside the active ones minutes before they may receive work, and some versions
+//! fail or are many times slower. Without this check they would get their full share of the requests as soon as they are
+//! listed.
 
 use super::*;
 
 impl Core {
-    /// Settles which upstreams are held back: those of another version than the one in force, while one of that stays. The version
-    /// in force is that of the upstream that was entered first, and stays so while the instance runs: crashed upstreams come back
-    /// as the youngest.
-    pub(crate) fn settle_versions(&mut self) {
+    /// Holds back upstreams whose version is not the active one, as long as one with the active version stays. The active
+    /// version is that of the upstream registered first, and does not change while the instance runs: crashed upstreams come
+    /// back as the last registered.
+    pub(crate) fn hold_back_inactive_versions(&mut self) {
         let mut changed = Vec::new();
         for pool in self.pools.values_mut() {
             if pool.version.is_none() {
                 let first = pool
                     .upstreams
                     .iter()
-                    .min_by_key(|key| self.upstreams[**key].since);
+                    .min_by_key(|key| self.upstreams[**key].registered_at);
                 pool.version = first.map(|key| self.upstreams[*key].version.clone());
             }
-            let Some(in_force) = &pool.version else {
+            let Some(active) = &pool.version else {
                 continue;
             };
-            let stays = pool.upstreams.iter().any(|key| {
+            let is_active_present = pool.upstreams.iter().any(|key| {
                 let upstream = &self.upstreams[*key];
-                upstream.version == *in_force && !upstream.leaves(self.now)
+                upstream.version == *active && !upstream.is_leaving(self.now)
             });
             for key in &pool.upstreams {
                 let upstream = &mut self.upstreams[*key];
-                let held = stays && upstream.version != *in_force;
+                let held = is_active_present && upstream.version != *active;
                 if held != upstream.held {
                     upstream.held = held;
                     changed.push(*key);
@@ -38,11 +38,11 @@
         }
         for key in changed {
             let belief = if self.upstreams[key].held {
-                effect::Belief::Held
+                effect::StatusChange::Held
             } else {
-                effect::Belief::Released
+                effect::StatusChange::Released
             };
-            self.believe(key, belief);
+            self.log_belief(key, belief);
         }
     }
 }
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -1,21 +1,21 @@
-//! A core with routes for relayed requests, and what it was told.
+//! Test harness: a core with routes for relayed requests, and its recorded effects.
 
 use super::*;
 
 pub const NOW: Time = Time(1_800_000_000_000);
 
-/// Path of a stream that may be resumed.
+/// Path of a resumable stream.
 pub const STREAM: &str = "/stream/1";
 
-/// Path of calls that may be repeated.
-pub const AGAIN: &str = "/again/1";
+/// Path of a service whose calls are repeatable.
+pub const REPEATABLE: &str = "/again/1";
 
-/// Path of calls that may run once.
-pub const ONCE: &str = "/once/1";
+/// Path of a service whose calls may run only once.
+pub const NON_REPEATABLE: &str = "/once/1";
 
-/// A core with routes, and what it was told.
+/// A core under test, with the effects that it has returned.
 pub struct Test {
-    /// What tells the bodies of requests apart.
+    /// Stands for the request body: requests with different values have different fingerprints.
     pub body: u64,
     pub core: Core,
     pub effects: Vec<Effect>,
@@ -23,55 +23,55 @@
     pub now: Time,
 }
 
-/// What was sent for an attempt.
+/// One request sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub attempt: attempt::Key,
     pub backup: Option<usize>,
     pub copy: Option<String>,
     pub left_ms: u64,
-    /// The upstream, as the core knows it.
+    /// Key of the upstream in the core.
     pub key: upstream::Key,
     pub position: u64,
     pub upstream: usize,
 }
 
 impl Test {
-    /// A core with a configuration and upstreams, three of them in each data centre.
+    /// Creates a core with a configuration and upstreams, three in each data centre.
     pub fn new(upstreams: usize) -> Self {
         Self::without_configuration().configured(upstreams)
     }
 
     pub fn configured(mut self, upstreams: usize) -> Self {
-        self.tell(Event::Config(Arc::new(configuration(1))));
+        self.handle(Event::Config(Arc::new(configuration(1))));
         self.list((0..upstreams).map(|index| listed(index, index)).collect());
         self
     }
 
-    /// The same core, still to be told of the streams that were kept before its start.
-    pub fn recalling(mut self) -> Self {
-        self.core = self.core.recalling();
+    /// Makes the core wait for the records of streams from before its start.
+    pub fn restoring_streams(mut self) -> Self {
+        self.core = self.core.restoring_streams();
         self
     }
 
     pub fn without_configuration() -> Self {
-        Self::with(Resume::Copy)
+        Self::with(ResumeMode::Copy)
     }
 
-    /// A core without a configuration whose lost streams go on in one way.
-    pub fn with(relay_resume: Resume) -> Self {
+    /// Creates a core without a configuration that resumes lost streams in the given way.
+    pub fn with(relay_resume: ResumeMode) -> Self {
         Self::set(Settings {
             relay_resume,
             ..Settings::default()
         })
     }
 
-    /// A core without a configuration, with some settings.
+    /// Creates a core without a configuration, with the given settings.
     pub fn set(settings: Settings) -> Self {
         Self::build(settings, 1)
     }
 
-    /// A core with one upstream, whose random choices are those of a seed.
+    /// Creates a core with one upstream and a seed for its random choices.
     pub fn seeded(seed: u64) -> Self {
         Self::build(Settings::default(), seed).configured(1)
     }
@@ -80,36 +80,42 @@
         settings.probes = false;
         Self {
             body: 0,
-            core: Core::new(settings, [0; 32], seed, NOW).standing_in("dc-0"),
+            core: Core::new(settings, [0; 32], seed, NOW).in_data_centre("dc-0"),
             effects: Vec::new(),
             next: 0,
             now: NOW,
         }
     }
 
-    pub fn ask(&mut self, path: &str) -> Caller {
-        self.ask_as("key", path, 0)
+    pub fn request(&mut self, path: &str) -> Caller {
+        self.request_as("key", path, 0)
     }
 
-    /// Asks with a key, behind the event that the caller has.
-    pub fn ask_as(&mut self, key: &str, path: &str, position: u64) -> Caller {
-        self.ask_within(20_000, key, path, position)
+    /// Submits a request with an API key; `position` is that of the last event that the caller has.
+    pub fn request_as(&mut self, key: &str, path: &str, position: u64) -> Caller {
+        self.request_within(20_000, key, path, position)
     }
 
-    /// Asks with so much patience, in milliseconds.
-    pub fn ask_within(&mut self, patience: u64, key: &str, path: &str, position: u64) -> Caller {
+    /// Submits a request with a caller timeout in milliseconds.
+    pub fn request_within(
+        &mut self,
+        timeout_ms: u64,
+        key: &str,
+        path: &str,
+        position: u64,
+    ) -> Caller {
         let tokens = if path == STREAM { 5_200 } else { 0 };
-        self.submit(patience, key, path, position, tokens)
+        self.submit(timeout_ms, key, path, position, tokens)
     }
 
-    /// Asks for so many tokens; 0 does not say.
-    pub fn ask_of_size(&mut self, tokens: u32, path: &str) -> Caller {
+    /// Submits a request that states its tokens; 0 for not stated.
+    pub fn request_of_size(&mut self, tokens: u32, path: &str) -> Caller {
         self.submit(20_000, "key", path, 0, tokens)
     }
 
     fn submit(
         &mut self,
-        patience: u64,
+        timeout_ms: u64,
         key: &str,
         path: &str,
         position: u64,
@@ -117,7 +123,7 @@
     ) -> Caller {
         self.next += 1;
         let caller = Caller(self.next);
-        self.tell(Event::Submit(Box::new(Submission {
+        self.handle(Event::Submit(Box::new(Submission {
             caller,
             cursor: None,
             customer: key.into(),
@@ -127,11 +133,11 @@
             received: None,
             service: String::new(),
             work: Work::Relay(Relay {
-                answer_tokens: if path == STREAM { 800 } else { 0 },
+                max_answer_tokens: if path == STREAM { 800 } else { 0 },
                 bytes: 100,
                 host: "a.example".into(),
                 path: path.into(),
-                patience_ms: Some(patience),
+                timeout_ms: Some(timeout_ms),
                 position,
                 prompt: if path == STREAM { 77 } else { 0 },
                 run: format!("run-{}", self.next).into(),
@@ -141,11 +147,11 @@
         caller
     }
 
-    /// Has a stream sent and its first events passed on.
+    /// Starts a stream and delivers its first events.
     pub fn stream(&mut self, events: u64) -> Sent {
-        self.ask(STREAM);
-        let sent = self.last();
-        self.tell(Event::Opened(sent.attempt));
+        self.request(STREAM);
+        let sent = self.last_sent();
+        self.handle(Event::StreamOpened(sent.attempt));
         for position in 1..=events {
             self.pass_on(&sent, position);
         }
@@ -153,7 +159,7 @@
     }
 
     pub fn pass_on(&mut self, sent: &Sent, position: u64) {
-        self.tell(Event::Passed {
+        self.handle(Event::StreamEvent {
             attempt: sent.attempt,
             bytes: format!("id: {position}\n\n").into_bytes().into(),
             position,
@@ -162,40 +168,40 @@
 
     pub fn close(&mut self, sent: &Sent, marked: bool) {
         let attempt = sent.attempt;
-        self.tell(Event::Closed { attempt, marked });
+        self.handle(Event::StreamEnded { attempt, marked });
     }
 
     pub fn fail(&mut self, sent: &Sent, failure: Failure) {
-        self.tell(Event::Failed {
+        self.handle(Event::Failed {
             attempt: sent.attempt,
             failure,
         });
     }
 
-    /// An attempt's connection breaks, and its upstream has ended or lives on.
-    pub fn break_off(&mut self, sent: &Sent, ended: bool) {
+    /// Breaks the connection of an attempt; the crash check then finds that its upstream has ended or is alive.
+    pub fn break_connection(&mut self, sent: &Sent, ended: bool) {
         self.fail(sent, Failure::Broken);
         let life = life(sent.upstream, 0);
-        self.tell(Event::Checked { ended, life });
+        self.handle(Event::CrashChecked { ended, life });
     }
 
     pub fn answer(&mut self, sent: &Sent, verdict: Verdict) {
-        self.tell(Event::Answered {
+        self.handle(Event::Answered {
             attempt: sent.attempt,
             verdict,
         });
     }
 
-    pub fn list(&mut self, listed: Vec<Listed>) {
-        self.tell(Event::List {
-            asked: self.now,
-            listed: Some(listed),
+    pub fn list(&mut self, listed: Vec<ListEntry>) {
+        self.handle(Event::List {
+            requested_at: self.now,
+            entries: Some(listed),
         });
     }
 
-    /// Has a stream told of that waits at another instance.
-    pub fn waits_elsewhere(&mut self, prompt: u64) {
-        self.tell(Event::Sighted(Sighting {
+    /// Reports a stream that is queued at another instance.
+    pub fn add_peer_waiting(&mut self, prompt: u64) {
+        self.handle(Event::PeerStream(Sighting {
             backup: None,
             pool: "pool".into(),
             prompt,
@@ -205,23 +211,23 @@
         }));
     }
 
-    /// When callers were asked to come back, in order.
-    pub fn come_backs(&self) -> Vec<u64> {
-        let come_back = |effect: &Effect| match effect {
+    /// Retry delays given to callers, in order.
+    pub fn retry_afters(&self) -> Vec<u64> {
+        let retry_after = |effect: &Effect| match effect {
             Effect::Fail { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
         };
-        self.effects.iter().filter_map(come_back).collect()
+        self.effects.iter().filter_map(retry_after).collect()
     }
 
-    /// Everything sent, in order.
+    /// All requests sent, in order.
     pub fn sent(&self) -> Vec<Sent> {
         let sent = |effect: &Effect| match effect {
             Effect::Send {
                 address,
                 attempt,
-                sending:
-                    Sending::Relay {
+                outbound:
+                    Outbound::Relay {
                         backup,
                         copy,
                         left_ms,
@@ -243,15 +249,15 @@
         self.effects.iter().filter_map(sent).collect()
     }
 
-    /// What was sent last.
-    pub fn last(&self) -> Sent {
+    /// The last request sent.
+    pub fn last_sent(&self) -> Sent {
         self.sent().pop().expect("something was sent")
     }
 
-    /// Positions of the events given to callers.
-    pub fn given(&self) -> Vec<u64> {
+    /// Positions of the events delivered to callers.
+    pub fn delivered(&self) -> Vec<u64> {
         let position = |effect: &Effect| match effect {
-            Effect::Pass { bytes, .. } => {
+            Effect::ForwardEvent { bytes, .. } => {
                 let text = std::str::from_utf8(bytes).unwrap();
                 text.trim().strip_prefix("id: ")?.parse().ok()
             }
@@ -260,16 +266,16 @@
         self.effects.iter().filter_map(position).collect()
     }
 
-    /// Names of the last steps given to callers.
-    pub fn ends(&self) -> Vec<String> {
-        let end = |effect: &Effect| match effect {
-            Effect::Answer(_) => Some("answer".into()),
-            Effect::Close(_) => Some("close".into()),
-            Effect::Cut(_) => Some("cut".into()),
+    /// Names of the final effects for callers.
+    pub fn outcomes(&self) -> Vec<String> {
+        let outcome = |effect: &Effect| match effect {
+            Effect::ForwardResponse(_) => Some("answer".into()),
+            Effect::EndStream(_) => Some("close".into()),
+            Effect::AbortStream(_) => Some("cut".into()),
             Effect::Fail { kind, .. } => Some(kind.to_string()),
             _ => None,
         };
-        self.effects.iter().filter_map(end).collect()
+        self.effects.iter().filter_map(outcome).collect()
     }
 
     pub fn counted(&self, counter: Counter) -> u64 {
@@ -280,15 +286,15 @@
         self.effects.iter().map(count).sum()
     }
 
-    /// Lets time pass in the steps of a running instance.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances time in steps of 10 ms, with a tick in each.
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = self.now.after(10);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         self.effects.extend(self.core.handle(self.now, event));
     }
 }
@@ -301,9 +307,9 @@
     usize::from(address.port()) - 1
 }
 
-/// An upstream at an address; three addresses in a row are in one data centre.
-pub fn listed(name: usize, place: usize) -> Listed {
-    Listed {
+/// List entry for an upstream; each three consecutive places share a data centre.
+pub fn listed(name: usize, place: usize) -> ListEntry {
+    ListEntry {
         address: address(place),
         born: 0,
         data_centre: format!("dc-{}", place / 3),
@@ -358,7 +364,7 @@
     };
     let customer = Customer {
         name: "mill".into(),
-        ..Customer::anyone()
+        ..Customer::anonymous()
     };
     Config {
         customers: [("key".to_owned(), Arc::new(customer))].into(),
@@ -373,9 +379,9 @@
     }
 }
 
-/// The life of an upstream by its number that began at a time.
-pub fn life(upstream: usize, born: u64) -> Life {
-    Life::new(&format!("runner-{upstream}"), born)
+/// Incarnation of an upstream with the given start time.
+pub fn life(upstream: usize, born: u64) -> Incarnation {
+    Incarnation::new(&format!("runner-{upstream}"), born)
 }
 
 pub fn sighting(upstream: usize, backup: usize) -> Sighting {
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -9,7 +9,7 @@
 
 /// Tries a connection and tells the core task what came of it. Only a refusal says that the process is gone: a link that
 /// carries nothing says the same of one that runs.
-pub(crate) async fn run(driver: Driver, address: SocketAddr, life: Life) {
+pub(crate) async fn run(driver: Driver, address: SocketAddr, life: Incarnation) {
     let tried = timeout(PATIENCE, TcpStream::connect(address)).await;
     let refused = |error: &std::io::Error| {
         let kind = error.kind();
@@ -17,5 +17,5 @@
     };
     let ended = tried.is_ok_and(|tried| tried.is_err_and(|error| refused(&error)));
     debug!(ended; "{address}: checked whether it has ended");
-    driver.event(Event::Checked { ended, life });
+    driver.event(Event::CrashChecked { ended, life });
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,8 +1,10 @@
 //! Calls of the platform's store.
 
 use super::*;
-use platform::store::{Call, Item, Page, Seen};
-use wellplank_core::{bound::Bound, lesson::Age, line::Line};
+use platform::store::{Call, Item, Page, WatchResponse};
+use wellplank_core::{
+    informer_io::Consistency, staleness::StalenessBound, store_calls::StoreCalls,
+};
 
 /// Time in which an answer that has begun must go on: as long as the kernel waits for a silent connection. However
 /// long a list is and however small the link, a piece of it comes sooner.
@@ -23,9 +25,9 @@
 #[derive(Clone)]
 pub(crate) struct Client {
     /// What calls showed of the store; clones of the client share it.
-    absence: Arc<watch::Sender<Absence>>,
+    absence: Arc<watch::Sender<Availability>>,
     address: SocketAddr,
-    bound: Bound,
+    bound: StalenessBound,
     clock: Clock,
     /// Makes and keeps connections; replaced when one of them may say nothing any more.
     http: Arc<watch::Sender<Http>>,
@@ -34,8 +36,13 @@
 
 impl Client {
     /// A client of the platform's store; what it says must be known within `bound`.
-    pub fn new(hosted: settings::Hosted, bound: Bound, clock: Clock, meter: meter::Meter) -> Self {
-        let absence = Absence::new(hosted.heartbeat_ms);
+    pub fn new(
+        hosted: settings::Hosted,
+        bound: StalenessBound,
+        clock: Clock,
+        meter: meter::Meter,
+    ) -> Self {
+        let absence = Availability::new(hosted.heartbeat_ms);
         Self {
             absence: Arc::new(watch::Sender::new(absence)),
             address: hosted.store,
@@ -47,7 +54,7 @@
     }
 
     /// What the ends of all calls showed of the store.
-    pub fn absence(&self) -> watch::Receiver<Absence> {
+    pub fn absence(&self) -> watch::Receiver<Availability> {
         self.absence.subscribe()
     }
 
@@ -60,7 +67,8 @@
     /// Notes that the store has just answered another instance.
     pub fn witness(&self) {
         let now = self.clock.now();
-        self.absence.send_modify(|absence| absence.witness(now));
+        self.absence
+            .send_modify(|absence| absence.record_peer_success(now));
     }
 
     /// Makes a call that does not wait.
@@ -84,17 +92,17 @@
         let answered = matches!(&answer, Ok(answer) if !is_refusal(answer.status));
         self.absence.send_modify(|absence| {
             if let Ok(answer) = &answer
-                && absence.show(answer.era, self.clock.now())
+                && absence.observe_era(answer.era, self.clock.now())
             {
                 let era = answer.era;
                 warn!(era; "the store has come back from an older copy");
-                self.meter.count(Counter::StoreReturned, 1);
+                self.meter.count(Counter::StoreRestored, 1);
             }
             if !answered {
                 let now = self.clock.now();
                 let is_silent = matches!(answer, Err(Error::Unanswered(_)));
-                absence.fail(if is_silent { due } else { now }, now);
-            } else if let Some(away_ms) = absence.answer(self.clock.now()) {
+                absence.record_failure(if is_silent { due } else { now }, now);
+            } else if let Some(away_ms) = absence.record_success(self.clock.now()) {
                 info!(away_ms; "the store is back");
             }
         });
@@ -130,7 +138,7 @@
             Ok(era) => era.unwrap_or(known),
             Err(error) => {
                 warn!("an answer of the store: {error}");
-                self.meter.count(Counter::EntryOdd("era"), 1);
+                self.meter.count(Counter::EntryInvalid("era"), 1);
                 known
             }
         }
@@ -142,12 +150,12 @@
         &self,
         prefix: &str,
         patience: Duration,
-        age: Age,
+        age: Consistency,
     ) -> Result<(Vec<Item>, Position), Error> {
         let (mut page, era) = self.page(prefix, None, patience, age).await?;
         let position = Position::new(era, page.revision);
         let mut items = std::mem::take(&mut page.items);
-        while page.more {
+        while page.has_more {
             let last = items.last().map(|item| item.key.clone());
             let last =
                 last.ok_or_else(|| Error::Store(format!("{prefix}: a page names no key")))?;
@@ -158,7 +166,7 @@
                     "{prefix}: pages of the eras {era} and {next}"
                 )));
             }
-            if page.items.is_empty() && page.more {
+            if page.items.is_empty() && page.has_more {
                 return Err(Error::Store(format!("{prefix}: a page names no key")));
             }
             items.append(&mut page.items);
@@ -171,16 +179,16 @@
         prefix: &str,
         after: Option<&str>,
         patience: Duration,
-        age: Age,
+        age: Consistency,
     ) -> Result<(Page, u64), Error> {
-        let call = platform::store::range(prefix, after, age == Age::Seconds);
+        let call = platform::store::range(prefix, after, age == Consistency::Serializable);
         let Answer { body, era, status } = self.call(call, patience).await?;
         if status != StatusCode::OK {
             return Err(Error::Store(format!("reading {prefix}: {status}")));
         }
         let page = platform::store::decode_page(&body);
         let page = page.map_err(|error| Error::Store(error.to_string()))?;
-        self.leave_out(prefix, page.odd);
+        self.leave_out(prefix, page.malformed);
         Ok((page, era))
     }
 
@@ -188,7 +196,7 @@
     fn leave_out(&self, prefix: &str, odd: usize) {
         if odd > 0 {
             warn!(odd; "items of {prefix} name no key and are left out");
-            self.meter.count(Counter::EntryOdd("item"), odd as u64);
+            self.meter.count(Counter::EntryInvalid("item"), odd as u64);
         }
     }
 
@@ -199,18 +207,18 @@
         revision: u64,
         wait: Duration,
         patience: Duration,
-    ) -> Result<Option<(Seen, Position)>, Error> {
+    ) -> Result<Option<(WatchResponse, Position)>, Error> {
         let call = platform::store::watch(prefix, revision, wait);
         let Answer { body, era, status } = self.exchange(call, wait, patience).await?;
-        if platform::store::forgotten(status) {
+        if platform::store::is_compacted(status) {
             return Ok(None);
         }
         if status != StatusCode::OK {
             return Err(Error::Store(format!("watching {prefix}: {status}")));
         }
-        let seen = platform::store::decode_seen(&body);
+        let seen = platform::store::decode_watch(&body);
         let seen = seen.map_err(|error| Error::Store(error.to_string()))?;
-        self.leave_out(prefix, seen.odd);
+        self.leave_out(prefix, seen.malformed);
         let position = Position::new(era, seen.revision);
         Ok(Some((seen, position)))
     }
@@ -241,7 +249,7 @@
 /// Reads of a part of the store by a task of its own, with pauses behind failures.
 pub(crate) struct Link {
     client: Client,
-    line: Line,
+    line: StoreCalls,
     log: Log,
 }
 
@@ -258,7 +266,7 @@
     pub fn new(what: &'static str, client: &Client) -> Self {
         Self {
             client: client.clone(),
-            line: Line::default(),
+            line: StoreCalls::default(),
             log: Log::new(what, client.clock),
         }
     }
@@ -268,7 +276,7 @@
         self.note(error);
         let mut absence = self.client.absence();
         loop {
-            let may = self.line.may(&absence.borrow_and_update());
+            let may = self.line.next_call_at(&absence.borrow_and_update());
             let left = may.since(self.client.clock.now());
             if left == 0 {
                 return;
@@ -284,7 +292,7 @@
 
     /// Notes an answer.
     pub fn good(&mut self) {
-        self.line.answer();
+        self.line.record_success();
         self.log.good();
     }
 
@@ -292,13 +300,14 @@
     pub fn note(&mut self, error: &Error) {
         let absence = *self.client.absence.borrow();
         let now = self.client.clock.now();
-        self.line.fail(false, &absence, self.client.bound, now);
+        self.line
+            .record_failure(false, &absence, self.client.bound, now);
         self.log.bad(error);
     }
 
     /// Time in which the next answer must begin.
     pub fn patience(&self) -> Duration {
-        Duration::from_millis(self.line.patience_ms)
+        Duration::from_millis(self.line.timeout_ms)
     }
 }
 
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -5,12 +5,12 @@
 use members::{FEW, Member, Members, Own};
 use tokio::net::UdpSocket;
 use wellplank_core::{
-    demand::{Demand, Ended},
-    gauge::Pace,
-    lesson::{Confirmed, Heard, Known, Topic},
+    demand::{Demand, FinishedCall},
+    estimates::EngineSpeed,
+    informer_io::{Confirmed, KnownState, PeerReport, Topic},
     limit::Rate,
-    quarantine::Account,
-    roster::{self, Entry, Word},
+    quarantine::CrashHistory,
+    roster::{self, Entry, RosterUpdate},
 };
 
 /// Bytes of a datagram that are taken in.
@@ -55,22 +55,22 @@
         pressed: bool,
     },
     /// Unplanned ends of upstreams.
-    Ends(Account),
+    Ends(CrashHistory),
     /// An upstream says that it is leaving.
-    Leaving(Life),
+    Leaving(Incarnation),
     /// An upstream named a limit, or names none any more.
     Limit {
         /// The upstream.
-        life: Life,
+        life: Incarnation,
         /// What it takes from all instances together.
         rate: Option<Rate>,
     },
     /// An upstream is lost.
-    Lost(Life),
+    Lost(Incarnation),
     /// How fast the engines of a pool work; it goes along with what is told next.
-    Pace(Pace),
+    Pace(EngineSpeed),
     /// Changes of the list of upstreams; told within the data centre.
-    Roster(Word),
+    Roster(RosterUpdate),
     /// A stream is relayed.
     Stream(Sighting),
 }
@@ -84,11 +84,11 @@
     /// The core task.
     pub driver: Driver,
     /// What others let this instance know.
-    pub heard: mpsc::UnboundedSender<Heard>,
+    pub heard: mpsc::UnboundedSender<PeerReport>,
     /// Requests to be refused also after all instances were lost.
     pub kept: mpsc::UnboundedReceiver<keeper::Kept>,
     /// What this instance knows.
-    pub known: watch::Receiver<Known>,
+    pub known: watch::Receiver<KnownState>,
     /// What the instance's link carries, in megabits a second.
     pub link_mbps: f64,
     /// Where datagrams come.
@@ -115,7 +115,7 @@
             curiosity: account::Curiosity::default(),
             driver: self.driver.clone(),
             heard: self.heard,
-            most: Known::default(),
+            most: KnownState::default(),
             socket: socket.clone(),
             streams: streams.clone(),
             tell,
@@ -156,9 +156,9 @@
     account: watch::Receiver<account::Known>,
     curiosity: account::Curiosity,
     driver: Driver,
-    heard: mpsc::UnboundedSender<Heard>,
+    heard: mpsc::UnboundedSender<PeerReport>,
     /// The most that others let this instance know.
-    most: Known,
+    most: KnownState,
     socket: Arc<UdpSocket>,
     streams: watch::Sender<keeper::Streams>,
     /// What other instances are to be told.
@@ -196,22 +196,22 @@
         }
         self.take_ends(told.ends, told.account, told.asks, from);
         for life in told.lost {
-            self.driver.event(Event::Blamed(decode_life(life)));
+            self.driver.event(Event::PeerLoss(decode_life(life)));
         }
         for life in told.leaving {
-            self.driver.event(Event::Departing(decode_life(life)));
+            self.driver.event(Event::PeerLeaving(decode_life(life)));
         }
         for limit in told.limits {
             let life = decode_life(limit.life.unwrap_or_default());
             let rate = limit.rate.map(Rate);
-            self.driver.event(Event::Limited { life, rate });
+            self.driver.event(Event::PeerLimit { life, rate });
         }
         for demand in told.demands {
             let demand = decode_demand(demand);
-            self.driver.event(Event::Demanded { demand, from });
+            self.driver.event(Event::PeerDemand { demand, from });
         }
         for pace in told.paces {
-            self.driver.event(Event::Paced(decode_pace(pace)));
+            self.driver.event(Event::PeerPace(decode_pace(pace)));
         }
         let word = told.roster.map(decode_word);
         let confirmed = told.confirmed.map(decode_confirmed);
@@ -223,11 +223,11 @@
         }
         most.configuration = most.configuration.max(told.configuration);
         most.list = most.list.max(list);
-        let heard = Heard {
+        let heard = PeerReport {
             configuration: told.configuration,
             confirmed,
             list,
-            word,
+            update: word,
         };
         // The task that learns ends only with the instance.
         let _ = self.heard.send(heard);
@@ -240,7 +240,7 @@
     fn take_ends(&mut self, ends: Vec<peers::End>, digest: u64, asks: bool, from: SocketAddr) {
         if !ends.is_empty() {
             let account = account::decode(ends);
-            self.driver.event(Event::Crashed(account.into()));
+            self.driver.event(Event::CrashReported(account.into()));
         }
         let own = self.account.borrow().digest;
         let told = if asks {
@@ -260,7 +260,7 @@
 /// Tells the core of streams that other instances relay.
 pub(crate) fn sight(sightings: Vec<peers::Sighting>, driver: &Driver) {
     for sighting in sightings {
-        driver.event(Event::Sighted(decode(sighting)));
+        driver.event(Event::PeerStream(decode(sighting)));
     }
 }
 
@@ -277,7 +277,7 @@
     account: watch::Receiver<account::Known>,
     /// What this instance is asked of each pool.
     demands: BTreeMap<Arc<str>, peers::Demand>,
-    known: watch::Receiver<Known>,
+    known: watch::Receiver<KnownState>,
     link_mbps: f64,
     members: watch::Receiver<Members>,
     /// This instance.
@@ -485,18 +485,18 @@
 }
 
 /// Changes of the list as another instance tells them.
-fn decode_word(word: peers::Roster) -> Word {
-    Word {
-        away_ms: word.away_ms.into(),
+fn decode_word(word: peers::Roster) -> RosterUpdate {
+    RosterUpdate {
+        outage_ms: word.away_ms.into(),
         changes: word
             .entries
             .into_iter()
             .map(|entry| decode_change(entry, word.era))
             .collect(),
         from: Position::new(word.era, word.from),
-        returning_ms: word.returning_ms.into(),
-        held: word.held,
-        steady_ms: word.steady_ms.into(),
+        grace_ms: word.returning_ms.into(),
+        is_grace_extended: word.held,
+        uptime_ms: word.steady_ms.into(),
         to: Position::new(word.era, word.to),
     }
 }
@@ -505,9 +505,9 @@
     let name = entry.name;
     let position = Position::new(era, entry.revision);
     let entry = match entry.address.parse() {
-        _ if entry.gone => Entry::Gone,
-        _ if entry.odd => Entry::Odd,
-        Ok(address) => Entry::Listed(event::Listed {
+        _ if entry.gone => Entry::Deleted,
+        _ if entry.odd => Entry::Invalid,
+        Ok(address) => Entry::Listed(event::ListEntry {
             address,
             born: entry.born,
             data_centre: entry.data_centre,
@@ -520,7 +520,7 @@
         }),
         Err(error) => {
             warn!("{name}: `{}` is no address: {error}", entry.address);
-            Entry::Odd
+            Entry::Invalid
         }
     };
     roster::Change {
@@ -530,15 +530,15 @@
     }
 }
 
-fn encode_word(word: Word) -> peers::Roster {
+fn encode_word(word: RosterUpdate) -> peers::Roster {
     peers::Roster {
-        away_ms: word.away_ms as u32,
+        away_ms: word.outage_ms as u32,
         entries: word.changes.into_iter().map(encode_change).collect(),
         era: word.to.era,
         from: word.from.revision,
-        returning_ms: word.returning_ms as u32,
-        held: word.held,
-        steady_ms: word.steady_ms as u32,
+        returning_ms: word.grace_ms as u32,
+        held: word.is_grace_extended,
+        steady_ms: word.uptime_ms as u32,
         to: word.to.revision,
     }
 }
@@ -547,7 +547,7 @@
 fn encode_change(change: roster::Change) -> peers::Entry {
     let (name, revision) = (change.name, change.position.revision);
     match change.entry {
-        Entry::Gone => peers::Entry {
+        Entry::Deleted => peers::Entry {
             gone: true,
             name,
             revision,
@@ -567,7 +567,7 @@
             slots: listed.slots,
             version: listed.version,
         },
-        Entry::Odd => peers::Entry {
+        Entry::Invalid => peers::Entry {
             name,
             odd: true,
             revision,
@@ -577,59 +577,59 @@
 }
 
 /// A life as another instance names it.
-pub(crate) fn decode_life(life: peers::Life) -> Life {
+pub(crate) fn decode_life(life: peers::Life) -> Incarnation {
     let peers::Life { born, id } = life;
-    Life { id, born }
+    Incarnation { id, born }
 }
 
-pub(crate) fn encode_life(life: Life) -> peers::Life {
-    let Life { id, born } = life;
+pub(crate) fn encode_life(life: Incarnation) -> peers::Life {
+    let Incarnation { id, born } = life;
     peers::Life { born, id }
 }
 
 /// What another instance is asked of a pool.
 fn decode_demand(demand: peers::Demand) -> Demand {
     Demand {
-        asked: f64::from(demand.asked) / ASKED_S,
-        last: demand.last.map(|last| Ended {
-            millis: last.millis,
+        arrival_rate: f64::from(demand.asked) / ASKED_S,
+        last_call: demand.last.map(|last| FinishedCall {
+            duration_ms: last.millis,
             upstream: last.upstream,
         }),
         pool: demand.pool.into(),
-        returned: f64::from(demand.returned) / ASKED_S,
+        retry_rate: f64::from(demand.returned) / ASKED_S,
         running: demand.running,
-        takes_ms: f64::from(demand.takes_ms),
+        service_time_ms: f64::from(demand.takes_ms),
     }
 }
 
 fn encode_demand(demand: &Demand) -> peers::Demand {
     peers::Demand {
-        asked: (demand.asked * ASKED_S).round() as u32,
-        last: demand.last.map(|last| peers::Ended {
-            millis: last.millis,
+        asked: (demand.arrival_rate * ASKED_S).round() as u32,
+        last: demand.last_call.map(|last| peers::Ended {
+            millis: last.duration_ms,
             upstream: last.upstream,
         }),
         pool: demand.pool.to_string(),
-        returned: (demand.returned * ASKED_S).round() as u32,
+        returned: (demand.retry_rate * ASKED_S).round() as u32,
         running: demand.running,
-        takes_ms: demand.takes_ms.ceil() as u32,
+        takes_ms: demand.service_time_ms.ceil() as u32,
     }
 }
 
 /// How fast another instance saw engines work.
-fn decode_pace(pace: peers::Pace) -> Pace {
-    Pace {
-        event_ms: f64::from(pace.event_us) / MICROS,
+fn decode_pace(pace: peers::Pace) -> EngineSpeed {
+    EngineSpeed {
+        event_interval_ms: f64::from(pace.event_us) / MICROS,
         pool: pace.pool.into(),
-        reading_ms: f64::from(pace.reading_us) / MICROS,
+        prefill_ms_per_token: f64::from(pace.reading_us) / MICROS,
     }
 }
 
-fn encode_pace(pace: &Pace) -> peers::Pace {
+fn encode_pace(pace: &EngineSpeed) -> peers::Pace {
     peers::Pace {
-        event_us: (pace.event_ms * MICROS) as u32,
+        event_us: (pace.event_interval_ms * MICROS) as u32,
         pool: pace.pool.to_string(),
-        reading_us: (pace.reading_ms * MICROS) as u32,
+        reading_us: (pace.prefill_ms_per_token * MICROS) as u32,
     }
 }
 
--- a/crates/node/src/note.rs
+++ b/crates/node/src/note.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use wellplank_core::{
+    fingerprint::RequestFingerprint,
     limit::Limit,
-    notice::{Notice, Rest},
-    print::Print,
-    quarantine::Account,
+    notice::{Backoff, Notice},
+    quarantine::CrashHistory,
 };
 
 /// Writes the line of a change in what is believed of an upstream.
-pub(crate) fn believe(belief: Belief, born: u64, silent_ms: u64, upstream: &str) {
+pub(crate) fn believe(belief: StatusChange, born: u64, silent_ms: u64, upstream: &str) {
     let belief = belief.name();
     info!(upstream, born, belief, silent_ms; "upstream");
 }
@@ -18,14 +18,14 @@
 pub(crate) fn notice(request: &str, upstream: &str, status: StatusCode, notice: &Notice) {
     let status = status.as_u16();
     let leaving = notice.leaving;
-    let (rest_ms, odd) = match notice.rest {
-        Rest::For(millis) => (millis, false),
-        Rest::None => (0, false),
-        Rest::Odd => (0, true),
+    let (rest_ms, odd) = match notice.backoff {
+        Backoff::For(millis) => (millis, false),
+        Backoff::None => (0, false),
+        Backoff::Malformed => (0, true),
     };
     let (limit, odd) = match notice.limit {
         Limit::None | Limit::Unknown => (None, odd),
-        Limit::Odd => (None, true),
+        Limit::Malformed => (None, true),
         Limit::Rate(rate) => (Some(rate.per_second()), odd),
     };
     info!(request, upstream, status, leaving, limit, rest_ms, odd; "upstream said");
@@ -33,22 +33,22 @@
 
 /// Writes the line of a request that is refused from now on, with the upstreams that ended under it, by the hashes of their
 /// names, and whether this instance saw one of them end.
-pub(crate) fn quarantine(print: Print, ends: &Account, own: bool) {
+pub(crate) fn quarantine(print: RequestFingerprint, ends: &CrashHistory, own: bool) {
     let fingerprint = print.to_string();
-    let lives = ends.ends();
+    let lives = ends.crashes();
     let upstreams: Vec<String> = lives.map(|(life, _)| life.to_string()).collect();
     let upstreams = upstreams.join(",");
     warn!(fingerprint, upstreams, own; "quarantined");
 }
 
 /// Writes the line of a request that is no longer refused.
-pub(crate) fn free(print: Print) {
+pub(crate) fn free(print: RequestFingerprint) {
     let fingerprint = print.to_string();
     info!(fingerprint; "no longer quarantined");
 }
 
 /// Writes the line of a step. Relayed requests have the name that their caller gave them.
-pub(crate) fn write(note: &Note) {
+pub(crate) fn write(note: &RequestLog) {
     let own = || Uuid::from_u128(note.generation).to_string();
     let request = note.run.as_deref().map_or_else(own, str::to_owned);
     let customer = note.customer.name.as_str();
@@ -60,23 +60,23 @@
     let upstream = note.upstream.as_deref().unwrap_or_default();
     let position = note.position;
     let fingerprint = note.print.to_string();
-    match &note.what {
-        What::Answered => {
+    match &note.step {
+        Step::Answered => {
             info!(request, fingerprint, customer, service, model, upstream, position; "answered");
         }
-        What::Attached => {
+        Step::Attached => {
             info!(request, customer, service, model, upstream, position; "attached");
         }
-        What::Failed(kind) => {
+        Step::Failed(kind) => {
             let kind = kind.answer().name;
             warn!(request, fingerprint, customer, service, model, upstream, position, kind; "failed");
         }
-        What::Left => info!(request, customer, service, position; "caller left"),
-        What::Lost(reason) => {
+        Step::Left => info!(request, customer, service, position; "caller left"),
+        Step::Lost(reason) => {
             let reason = reason.to_string();
             warn!(request, fingerprint, customer, service, upstream, position, reason; "attempt lost");
         }
-        What::Sent {
+        Step::Sent {
             backup,
             copy,
             left_ms,
--- a/crates/standin/src/placing.rs
+++ b/crates/standin/src/placing.rs
@@ -7,9 +7,9 @@
     clock::Time,
     config::{self, Policy, Priority, Service, Target},
     core::Core,
-    effect::{Effect, Sending},
-    event::{Event, Failure, Listed, Submission},
-    life::Life,
+    effect::{Effect, Outbound},
+    event::{Event, Failure, ListEntry, Submission},
+    incarnation::Incarnation,
     members::View,
     position::Position,
     request::{Caller, Relay},
@@ -47,8 +47,8 @@
     }
 }
 
-fn listed(index: usize) -> Listed {
-    Listed {
+fn listed(index: usize) -> ListEntry {
+    ListEntry {
         address: SocketAddr::from(([127, 0, 0, 1], index as u16 + 1)),
         born: 0,
         data_centre: format!("dc-{}", index % 5),
@@ -64,23 +64,26 @@
 fn sighting(prompt: u64, upstreams: usize) -> Sighting {
     let at = prompt as usize % upstreams;
     Sighting {
-        backup: Some(Life::new(&format!("engine-{}", (at + 1) % upstreams), 0)),
+        backup: Some(Incarnation::new(
+            &format!("engine-{}", (at + 1) % upstreams),
+            0,
+        )),
         pool: String::new(),
         prompt,
         run: format!("run-{prompt}"),
         stage: Stage::Started,
         tokens: TOKENS,
-        upstream: Some(Life::new(&format!("engine-{at}"), 0)),
+        upstream: Some(Incarnation::new(&format!("engine-{at}"), 0)),
     }
 }
 
 fn submission(number: u64) -> Submission {
     let relay = Relay {
-        answer_tokens: 1_000,
+        max_answer_tokens: 1_000,
         bytes: 100,
         host: ask::HOST.into(),
         path: ask::PATH.into(),
-        patience_ms: Some(25_000),
+        timeout_ms: Some(25_000),
         position: 0,
         prompt: 1_000_000 + number,
         run: number.to_string().into(),
@@ -96,20 +99,20 @@
         probes: false,
         ..Settings::default()
     };
-    let mut core = Core::new(settings, [0; 32], 1, START).standing_in("dc-0");
+    let mut core = Core::new(settings, [0; 32], 1, START).in_data_centre("dc-0");
     core.handle(
         START,
         Event::Config(Arc::new(ask::configuration(service()))),
     );
     core.handle(START, Event::Instances(View::numbered(0, 295)));
     let list = Event::List {
-        asked: START,
-        listed: Some((0..upstreams).map(listed).collect()),
+        requested_at: START,
+        entries: Some((0..upstreams).map(listed).collect()),
     };
     core.handle(START, list);
     let told = Instant::now();
     for prompt in 0..streams {
-        core.handle(START, Event::Sighted(sighting(prompt + 1, upstreams)));
+        core.handle(START, Event::PeerStream(sighting(prompt + 1, upstreams)));
     }
     let told = told.elapsed();
     let mut placing = Duration::ZERO;
@@ -122,7 +125,7 @@
         for effect in effects {
             if let Effect::Send {
                 attempt,
-                sending: Sending::Relay { .. },
+                outbound: Outbound::Relay { .. },
                 ..
             } = effect
             {
--- a/crates/standin/src/rush.rs
+++ b/crates/standin/src/rush.rs
@@ -10,14 +10,14 @@
     clock::Time,
     config::{self, Policy, Priority, Service, Target},
     core::Core,
-    effect::{Effect, Sending},
-    event::{Event, Failure, Listed, Verdict},
+    effect::{Effect, Outbound},
+    event::{Event, Failure, ListEntry, Verdict},
     limit::{Limit, Rate},
     members::View,
-    notice::{Notice, Rest},
+    notice::{Backoff, Notice},
     position::Position,
     request::{Caller, Relay},
-    settings::{Calls, Limits, Settings},
+    settings::{CallLimits, LimitHolders, Settings},
     upstream,
 };
 
@@ -78,13 +78,13 @@
     /// Instances, each with a core.
     pub instances: usize,
     /// Requests a second that some upstreams take in the rush from all instances together, and which instances have a part.
-    pub limit: Option<(f64, Limits)>,
+    pub limit: Option<(f64, LimitHolders)>,
     /// Upstreams that name a limit, if any do.
     pub limited: usize,
     /// Load in the rush, over the usual.
     pub load: f64,
     /// Bounds on what upstreams are given.
-    pub calls: Calls,
+    pub calls: CallLimits,
     /// Who heeds the rest that upstreams ask for.
     pub heeds: Heeds,
     /// Rest that an upstream asks for when it turns a call away, in milliseconds; 0 for none.
@@ -244,12 +244,12 @@
     let ways = [
         (
             "a window at each instance",
-            Calls {
+            CallLimits {
                 demand: false,
-                ..Calls::default()
+                ..CallLimits::default()
             },
         ),
-        ("demand of all instances", Calls::default()),
+        ("demand of all instances", CallLimits::default()),
     ];
     for load in [2.0, 3.0, 4.0, 6.0] {
         let title = format!("Calls at {load} times the usual for 20 s");
@@ -316,7 +316,7 @@
         let title = format!("{limited} of 6 upstreams take {per_second} calls a second");
         let mut report = report::Report::new(&title);
         for instances in [1, 3, 6, 13, 90, 300] {
-            for (name, limits) in Limits::ALL {
+            for (name, limits) in LimitHolders::ALL {
                 let plan = |seed| Plan {
                     instances,
                     limit: Some((per_second, limits)),
@@ -379,7 +379,7 @@
 impl Default for Plan {
     fn default() -> Self {
         Self {
-            calls: Calls::default(),
+            calls: CallLimits::default(),
             heeds: Heeds::Asked,
             instances: 1,
             limit: None,
@@ -457,13 +457,13 @@
         let settings = Settings {
             probes: false,
             calls: plan.calls,
-            limits: plan.limit.map_or(Limits::Few, |(_, limits)| limits),
+            limits: plan.limit.map_or(LimitHolders::Few, |(_, limits)| limits),
             ..Settings::default()
         };
         let core = |index| {
             let seed = plan.seed * 1_000 + index as u64;
             let core = Core::new(settings.clone(), [0; 32], seed, START);
-            core.standing_in(&data_centre(index))
+            core.in_data_centre(&data_centre(index))
         };
         let mut random = Pcg64Mcg::seed_from_u64(plan.seed);
         let mut sum = 0.0;
@@ -501,8 +501,8 @@
             rush.tell(
                 instance,
                 Event::List {
-                    asked: START,
-                    listed: Some(rush.list()),
+                    requested_at: START,
+                    entries: Some(rush.list()),
                 },
             );
             let first = rush.random.random_range(0..10);
@@ -515,8 +515,8 @@
         rush
     }
 
-    fn list(&self) -> Vec<Listed> {
-        let listed = |index: usize| Listed {
+    fn list(&self) -> Vec<ListEntry> {
+        let listed = |index: usize| ListEntry {
             address: address(index),
             born: 0,
             data_centre: data_centre(HOMES[index]),
@@ -581,11 +581,11 @@
         let left = PATIENCE_MS - self.timeline.now().since(asker.begun);
         self.callers.insert(caller, index);
         let relay = Relay {
-            answer_tokens: 0,
+            max_answer_tokens: 0,
             bytes: 100,
             host: ask::HOST.into(),
             path: ask::PATH.into(),
-            patience_ms: Some(left),
+            timeout_ms: Some(left),
             position: 0,
             prompt: 0,
             run: self.next.to_string().into(),
@@ -606,7 +606,7 @@
 
     fn carry_out(&mut self, instance: usize, effect: Effect) {
         match effect {
-            Effect::Answer(caller) => {
+            Effect::ForwardResponse(caller) => {
                 if let Some(index) = self.callers.remove(&caller) {
                     let asker = &mut self.askers[index];
                     let took = self.timeline.now().since(asker.begun);
@@ -614,13 +614,13 @@
                 }
             }
             Effect::Cancel { attempt, .. } => self.leave(instance, attempt),
-            Effect::Demand { demand, pressed } => {
+            Effect::GossipDemand { demand, pressed } => {
                 let from = address(instance);
-                let event = Event::Demanded { demand, from };
+                let event = Event::PeerDemand { demand, from };
                 self.spread(instance, &event, pressed);
             }
-            Effect::Limit { life, rate } => {
-                let event = Event::Limited { life, rate };
+            Effect::GossipLimit { life, rate } => {
+                let event = Event::PeerLimit { life, rate };
                 for to in (0..self.cores.len()).filter(|to| *to != instance) {
                     if self.random.random::<f64>() >= LOST {
                         let action = Action::Tell(to, event.clone());
@@ -636,7 +636,7 @@
             Effect::Send {
                 address,
                 attempt,
-                sending: Sending::Relay { caller, .. },
+                outbound: Outbound::Relay { caller, .. },
                 upstream: key,
             } => {
                 let Some(asker) = self.callers.get(&caller).copied() else {
@@ -739,10 +739,10 @@
         };
         for (instance, upstream) in told {
             let notice = Notice {
-                rest: Rest::For(rest_ms),
+                backoff: Backoff::For(rest_ms),
                 ..Notice::default()
             };
-            let noticed = Event::Noticed {
+            let noticed = Event::NoticeReceived {
                 attempt: self.lines[line].attempt,
                 notice,
                 upstream,
@@ -786,7 +786,7 @@
                 limited.limit()
             }
         };
-        let noticed = Event::Noticed {
+        let noticed = Event::NoticeReceived {
             attempt,
             notice: Notice {
                 limit,
--- a/crates/standin/src/word.rs
+++ b/crates/standin/src/word.rs
@@ -10,11 +10,11 @@
 use pool::Line;
 use relaying::World;
 use wellplank_core::{
-    absence::Span,
+    availability::Span,
     clock::Time,
     event::Event,
     limit::{Limit, Rate},
-    notice::{Notice, Rest},
+    notice::{Backoff, Notice},
     upstream,
 };
 
@@ -72,17 +72,17 @@
             self.words.rests.entry(pair).or_default().push(span);
         }
         let rest = if rests {
-            Rest::For(rest_ms)
+            Backoff::For(rest_ms)
         } else {
-            Rest::None
+            Backoff::None
         };
         let notice = Notice {
             leaving,
             limit,
-            rest,
+            backoff: rest,
             ..Notice::default()
         };
-        let noticed = Event::Noticed {
+        let noticed = Event::NoticeReceived {
             attempt: line.attempt,
             notice,
             upstream: key,
