--- a/crates/node/src/claimer.rs
+++ b/crates/node/src/claimer.rs
@@ -35,7 +35,7 @@
 /// What settling claims needs.
 pub(crate) struct Claimer {
     pub driver: Driver,
-    pub list: watch::Receiver<Vec<list::Line>>,
+    pub list: watch::Receiver<Vec<instance_list::ListedInstance>>,
     pub orders: mpsc::UnboundedSender<Order>,
     pub settings: Settings,
     pub store: Store,
@@ -112,7 +112,7 @@
     /// Address of the instance that commits a place; `None` if it is this one.
     fn owner(&self, place: claim::BucketId) -> Option<SocketAddr> {
         let list = self.list.borrow();
-        let rank = |line: &&list::Line| {
+        let rank = |line: &&instance_list::ListedInstance| {
             upstream::id(&format!(
                 "{}/{}/{}",
                 place.slice, place.bucket, line.instance
--- a/crates/node/src/committer.rs
+++ b/crates/node/src/committer.rs
@@ -39,7 +39,7 @@
     async fn ensure(&self, store: &Store, lease: u64, ttl_ms: u64) -> Result<(), Error> {
         let mut known = self.0.lock().await;
         if !known.contains(&lease) {
-            store.grant(lease, ttl_ms.div_ceil(1_000)).await?;
+            store.ensure_lease(lease, ttl_ms.div_ceil(1_000)).await?;
             known.insert(lease);
         }
         Ok(())
@@ -143,11 +143,11 @@
             value: &value,
         };
         match self.store.swap(write).await? {
-            store::Swap::Done(revision) => {
+            store::SwapOutcome::Written(revision) => {
                 self.seen = Seen::Known(Some(store::Entry { revision, value }));
                 Ok(Some(outcomes))
             }
-            store::Swap::Lost(entry) => {
+            store::SwapOutcome::Conflict(entry) => {
                 self.seen = Seen::Known(entry);
                 Ok(None)
             }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -85,7 +85,7 @@
     /// Claims to be settled.
     pub claims: mpsc::UnboundedSender<claimer::Order>,
     /// Requests to be refused also after all instances were lost.
-    pub kept: mpsc::UnboundedSender<keeper::Kept>,
+    pub kept: mpsc::UnboundedSender<store_writer::QuarantineUpdate>,
     /// Upstreams that said they are leaving.
     pub leaving: watch::Sender<Leaving>,
     /// Counters and histograms.
@@ -106,7 +106,7 @@
     core: Core,
     driver: Driver,
     fresh: Http,
-    kept: mpsc::UnboundedSender<keeper::Kept>,
+    kept: mpsc::UnboundedSender<store_writer::QuarantineUpdate>,
     leaving: watch::Sender<Leaving>,
     meter: meter::Meter,
     pooled: Http,
@@ -385,7 +385,7 @@
             effect::Quarantine::Release { own, print } => {
                 note::free(print);
                 if own {
-                    self.keep(keeper::Kept::Nothing(print));
+                    self.keep(store_writer::QuarantineUpdate::Cleared(print));
                 }
             }
             effect::Quarantine::Publish(account) => {
@@ -394,14 +394,14 @@
             effect::Quarantine::Refuse { ends, own, print } => {
                 note::quarantine(print, &ends, own);
                 if own {
-                    self.keep(keeper::Kept::Ends(print, ends));
+                    self.keep(store_writer::QuarantineUpdate::Quarantined(print, ends));
                 }
             }
             effect::Quarantine::Gossip(news) => self.tell_others(gossip::Told::Ends(news)),
         }
     }
 
-    fn keep(&self, kept: keeper::Kept) {
+    fn keep(&self, kept: store_writer::QuarantineUpdate) {
         // Where nothing is kept, nobody listens.
         let _ = self.kept.send(kept);
     }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -2,7 +2,7 @@
 //! upstreams that they lose, changes of the list of upstreams, and how new their configuration is.
 
 use super::*;
-use members::{FEW, Member, Members, Own};
+use members::{LocalMember, Member, Members, SMALL_FLEET_MAX};
 use tokio::net::UdpSocket;
 use wellplank_core::{
     demand::{Demand, FinishedCall},
@@ -80,13 +80,13 @@
     /// The unplanned ends of upstreams that this instance knows.
     pub account: watch::Receiver<account::Known>,
     /// Client of the store.
-    pub client: feed::Client,
+    pub client: platform_store::Client,
     /// The core task.
     pub driver: Driver,
     /// What others let this instance know.
     pub heard: mpsc::UnboundedSender<PeerReport>,
     /// Requests to be refused also after all instances were lost.
-    pub kept: mpsc::UnboundedReceiver<keeper::Kept>,
+    pub kept: mpsc::UnboundedReceiver<store_writer::QuarantineUpdate>,
     /// What this instance knows.
     pub known: watch::Receiver<KnownState>,
     /// What the instance's link carries, in megabits a second.
@@ -94,7 +94,7 @@
     /// Where datagrams come.
     pub listen: SocketAddr,
     /// This instance.
-    pub own: Own,
+    pub own: LocalMember,
 }
 
 impl Gossip {
@@ -109,7 +109,7 @@
             .map_err(|error| Error::Bind(self.listen, error))?;
         let socket = Arc::new(socket);
         let (found, members) = watch::channel(Members::new());
-        let (streams, kept) = watch::channel(keeper::Streams::default());
+        let (streams, kept) = watch::channel(store_writer::Streams::default());
         let ear = Ear {
             account: self.account.clone(),
             curiosity: account::Curiosity::default(),
@@ -121,7 +121,7 @@
             tell,
         };
         tokio::spawn(ear.run());
-        let find = members::find(self.client.clone(), self.own.name.clone(), found);
+        let find = members::discover(self.client.clone(), self.own.name.clone(), found);
         tokio::spawn(find);
         let mouth = Mouth {
             account: self.account,
@@ -136,17 +136,17 @@
             streams,
         };
         tokio::spawn(mouth.run(told));
-        let keeper = keeper::Keeper {
+        let writer = store_writer::StoreWriter {
             client: self.client,
             driver: self.driver,
-            kept: self.kept,
             listen: self.listen,
             members: members.clone(),
             own: self.own,
+            quarantine_updates: self.kept,
             quarantined: BTreeMap::new(),
             streams: kept,
         };
-        tokio::spawn(keeper.run());
+        tokio::spawn(writer.run());
         Ok(members)
     }
 }
@@ -160,7 +160,7 @@
     /// The most that others let this instance know.
     most: KnownState,
     socket: Arc<UdpSocket>,
-    streams: watch::Sender<keeper::Streams>,
+    streams: watch::Sender<store_writer::Streams>,
     /// What other instances are to be told.
     tell: mpsc::UnboundedSender<Told>,
 }
@@ -189,7 +189,7 @@
         if !told.sightings.is_empty() {
             self.streams.send_modify(|streams| {
                 for sighting in &told.sightings {
-                    streams.take(sighting);
+                    streams.apply(sighting);
                 }
             });
             sight(told.sightings, &self.driver);
@@ -281,13 +281,13 @@
     link_mbps: f64,
     members: watch::Receiver<Members>,
     /// This instance.
-    own: Own,
+    own: LocalMember,
     /// What streams showed of engines since the last datagram.
     paces: Vec<peers::Pace>,
     /// Pools that are near what they can serve.
     pressed: BTreeSet<Arc<str>>,
     socket: Arc<UdpSocket>,
-    streams: watch::Sender<keeper::Streams>,
+    streams: watch::Sender<store_writer::Streams>,
 }
 
 impl Mouth {
@@ -346,7 +346,7 @@
     /// The same datagram for another data centre, where bytes are dear: with demands only of pools that are near
     /// what they can serve. Below that what those of the own data centre tell stands for all.
     fn shortened(&self, mut datagram: peers::Datagram) -> peers::Datagram {
-        if self.members.borrow().len() >= FEW {
+        if self.members.borrow().len() >= SMALL_FLEET_MAX {
             let pressed = |demand: &peers::Demand| self.pressed.contains(demand.pool.as_str());
             datagram.demands.retain(pressed);
         }
@@ -368,7 +368,7 @@
             Told::Pace(pace) if self.paces.len() < PACES => self.paces.push(encode_pace(pace)),
             Told::Stream(sighting) => {
                 let sighting = encode(sighting.clone());
-                self.streams.send_modify(|streams| streams.take(&sighting));
+                self.streams.send_modify(|streams| streams.apply(&sighting));
             }
             Told::Account(_)
             | Told::Ask(_)
@@ -413,7 +413,7 @@
             }
             // That a prompt is read others believe by its age.
             Told::Stream(sighting)
-                if sighting.stage == Stage::Streaming && members.len() >= FEW =>
+                if sighting.stage == Stage::Streaming && members.len() >= SMALL_FLEET_MAX =>
             {
                 Vec::new()
             }
--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -85,9 +85,9 @@
         let bound = StalenessBound {
             bound_ms: hosted.apply_ms.min(hosted.leave_ms),
         };
-        let client = feed::Client::new(hosted, bound, clock, meter.clone());
+        let client = platform_store::Client::new(hosted, bound, clock, meter.clone());
         let page = Page(meter.clone());
-        let this = members::Own {
+        let this = members::LocalMember {
             data_centre: settings.data_centre.clone(),
             name: settings.instance.clone(),
         };
@@ -131,7 +131,7 @@
         };
         let members = gossip.start(telling_others.clone(), telling).await?;
         tokio::spawn(count(members.clone(), this.clone(), driver.clone()));
-        let learner = learner::Learner {
+        let learner = store_sync::StoreSync {
             bound,
             client,
             clock,
@@ -185,7 +185,11 @@
 }
 
 /// Tells the core which instances there are, for ever.
-async fn count(mut members: watch::Receiver<members::Members>, own: members::Own, driver: Driver) {
+async fn count(
+    mut members: watch::Receiver<members::Members>,
+    own: members::LocalMember,
+    driver: Driver,
+) {
     loop {
         let view = own.view(&members.borrow_and_update());
         driver.event(Event::Instances(view));
--- a/crates/node/src/instance.rs
+++ b/crates/node/src/instance.rs
@@ -91,7 +91,7 @@
         let tasks = vec![
             core,
             tokio::spawn(claimer.run(claim_orders)),
-            tokio::spawn(list::run(
+            tokio::spawn(instance_list::poll(
                 settings.clone(),
                 clock,
                 driver.clone(),
--- a/crates/node/src/list.rs
+++ b/crates/node/src/instance_list.rs
@@ -7,7 +7,7 @@
 
 /// One line of the list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub(crate) struct Line {
+pub(crate) struct ListedInstance {
     /// Where it listens for the system.
     pub address: SocketAddr,
     /// Data centre that it stands in.
@@ -23,7 +23,7 @@
 /// What a read of the list gave.
 enum Read {
     /// New lines, and the tag by which the next read asks whether they changed.
-    Changed(Vec<Line>, Option<header::HeaderValue>),
+    Changed(Vec<ListedInstance>, Option<header::HeaderValue>),
     /// No answer.
     Failed,
     /// The lines are those of the last read.
@@ -32,11 +32,11 @@
 
 /// Reads the list for ever and tells the core task and the other tasks. A list that has not changed
 /// since the last read is not sent again.
-pub(crate) async fn run(
+pub(crate) async fn poll(
     settings: Settings,
     clock: Clock,
     driver: Driver,
-    sender: watch::Sender<Vec<Line>>,
+    sender: watch::Sender<Vec<ListedInstance>>,
     traffic: Traffic,
 ) {
     let http = Http::control(&traffic);
@@ -65,7 +65,7 @@
     }
 }
 
-fn listed(line: &Line) -> event::ListEntry {
+fn listed(line: &ListedInstance) -> event::ListEntry {
     event::ListEntry {
         address: line.address,
         born: 0,
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -34,7 +34,7 @@
 const BELIEVED: Duration = Duration::from_secs(6);
 
 /// Instances up to which each of them watches the store: there a watch each costs less than telling.
-pub(crate) const FEW: usize = 12;
+pub(crate) const SMALL_FLEET_MAX: usize = 12;
 
 /// Instances that keep the streams of all in the store; one of them may be lost.
 const KEEPERS: usize = 2;
@@ -53,7 +53,7 @@
 
 /// This instance among the others.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct LocalMember {
     /// Where it stands.
     pub data_centre: String,
     /// Its name.
@@ -67,9 +67,9 @@
     }
 }
 
-impl Own {
+impl LocalMember {
     /// Whether it keeps the streams of all instances in the store.
-    pub fn keeps(&self, members: &Members) -> bool {
+    pub fn persists_streams(&self, members: &Members) -> bool {
         self.ranked_before(members.keys()) < KEEPERS
     }
 
@@ -84,7 +84,7 @@
 
     /// What it does for its data centre.
     pub fn role(&self, members: &Members) -> Role {
-        if members.len() < FEW {
+        if members.len() < SMALL_FLEET_MAX {
             return Role::Independent;
         }
         let near = members
@@ -99,7 +99,7 @@
 
     /// Its place among those that watch the store for themselves: all of a small fleet, else the first of each data
     /// centre.
-    pub fn turn(&self, members: &Members) -> WatcherRank {
+    pub fn watcher_rank(&self, members: &Members) -> WatcherRank {
         match self.role(members) {
             Role::Independent => WatcherRank {
                 count: members.len() + 1,
@@ -118,7 +118,7 @@
 
     /// The others that watch the store for themselves.
     pub fn watchers<'a>(&self, members: &'a Members) -> BTreeSet<&'a String> {
-        if members.len() < FEW {
+        if members.len() < SMALL_FLEET_MAX {
             return members.keys().collect();
         }
         let mut first: BTreeMap<&str, (u64, &String)> = BTreeMap::new();
@@ -140,13 +140,21 @@
 
 /// Time between two reads of the instances where so many others are known.
 fn look(others: usize) -> Duration {
-    if others < FEW { LOOK } else { LOOK_LARGE }
+    if others < SMALL_FLEET_MAX {
+        LOOK
+    } else {
+        LOOK_LARGE
+    }
 }
 
 /// Keeps the other instances as the store lists them, for ever.
-pub(crate) async fn find(client: feed::Client, own: String, found: watch::Sender<Members>) {
+pub(crate) async fn discover(
+    client: platform_store::Client,
+    own: String,
+    found: watch::Sender<Members>,
+) {
     let begun = Instant::now();
-    let mut link = feed::Link::new("instances", &client);
+    let mut link = platform_store::Link::new("instances", &client);
     let mut era = None;
     let mut believed_until = begun;
     loop {
@@ -177,7 +185,7 @@
                 sleep(pause).await;
             }
             // Hundreds that ask on would pay for calls that are refused; those known are told meanwhile.
-            Err(error) if found.borrow().len() >= FEW => {
+            Err(error) if found.borrow().len() >= SMALL_FLEET_MAX => {
                 link.note(&error);
                 sleep(LOOK_LARGE).await;
             }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -16,7 +16,7 @@
     /// The configuration held here.
     pub held: watch::Receiver<revision::Held>,
     /// The platform's list.
-    pub list: watch::Receiver<Vec<list::Line>>,
+    pub list: watch::Receiver<Vec<instance_list::ListedInstance>>,
     /// Where changes are sent.
     pub orders: mpsc::UnboundedSender<revision::Order>,
     /// Peers heard of.
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -66,7 +66,7 @@
     }
 
     /// Keeps links to a few other instances.
-    pub async fn connect(self, list: watch::Receiver<Vec<list::Line>>) {
+    pub async fn connect(self, list: watch::Receiver<Vec<instance_list::ListedInstance>>) {
         let mut links: HashMap<SocketAddr, JoinHandle<()>> = HashMap::new();
         let mut ticks = interval(Duration::from_millis(self.settings.heartbeat_ms));
         loop {
@@ -249,9 +249,9 @@
     }
 
     /// Addresses to link to: those ranked first by a hash of both names, so that links are spread.
-    fn wanted(&self, list: &[list::Line]) -> HashSet<SocketAddr> {
+    fn wanted(&self, list: &[instance_list::ListedInstance]) -> HashSet<SocketAddr> {
         let own = &self.settings.instance;
-        let mut others: Vec<&list::Line> = list
+        let mut others: Vec<&instance_list::ListedInstance> = list
             .iter()
             .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL)
             .filter(|line| line.instance != *own)
@@ -266,8 +266,11 @@
 }
 
 /// Asks a few instances for parts of the configuration; those that come first are taken.
-pub(crate) async fn fetch_parts(list: &[list::Line], digests: &[Vec<u8>]) -> Vec<Bytes> {
-    let mut instances: Vec<&list::Line> = list
+pub(crate) async fn fetch_parts(
+    list: &[instance_list::ListedInstance],
+    digests: &[Vec<u8>],
+) -> Vec<Bytes> {
+    let mut instances: Vec<&instance_list::ListedInstance> = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL)
         .collect();
@@ -292,7 +295,7 @@
 }
 
 /// Asks every instance on the list for the revision that it has in force.
-pub(crate) async fn revisions(list: &[list::Line]) -> Vec<schema::PeerState> {
+pub(crate) async fn revisions(list: &[instance_list::ListedInstance]) -> Vec<schema::PeerState> {
     let asked = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
--- a/crates/node/src/revision.rs
+++ b/crates/node/src/revision.rs
@@ -56,7 +56,7 @@
     /// Where the configuration is held.
     pub held: watch::Sender<Held>,
     /// The platform's list.
-    pub list: watch::Receiver<Vec<list::Line>>,
+    pub list: watch::Receiver<Vec<instance_list::ListedInstance>>,
     /// The key-value service.
     pub store: Store,
 }
@@ -244,7 +244,7 @@
             lease: 0,
             value: &next.encode_to_vec(),
         };
-        if let store::Swap::Lost(_) = self.store.swap(write).await? {
+        if let store::SwapOutcome::Conflict(_) = self.store.swap(write).await? {
             return Ok(None);
         }
         let revision = next.revision;
@@ -280,7 +280,7 @@
 pub(crate) async fn watch(
     settings: Settings,
     store: Store,
-    mut list: watch::Receiver<Vec<list::Line>>,
+    mut list: watch::Receiver<Vec<instance_list::ListedInstance>>,
     orders: mpsc::UnboundedSender<Order>,
     held: watch::Receiver<Held>,
 ) {
@@ -288,8 +288,8 @@
         if watches(&settings, &list.borrow()) {
             // A change before the watch began is found by the read when it has begun.
             let seen = store.watch(HEAD, |seen| match seen {
-                store::Seen::Changed(entry) => hand_on(&orders, &entry),
-                store::Seen::Created => {
+                store::WatchEvent::Changed(entry) => hand_on(&orders, &entry),
+                store::WatchEvent::Created => {
                     let _ = orders.send(Order::Read);
                 }
             });
@@ -330,7 +330,7 @@
 }
 
 /// Whether this instance is one of those that watch for its data centre; not before it is listed.
-fn watches(settings: &Settings, list: &[list::Line]) -> bool {
+fn watches(settings: &Settings, list: &[instance_list::ListedInstance]) -> bool {
     let mut names: Vec<&str> = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -15,16 +15,16 @@
 
 /// Outcome of a compare-and-swap.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Swap {
+pub(crate) enum SwapOutcome {
     /// The value is written, at this revision.
-    Done(u64),
+    Written(u64),
     /// The key had another revision; this is its entry now.
-    Lost(Option<Entry>),
+    Conflict(Option<Entry>),
 }
 
 /// What a watch sees.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Seen {
+pub(crate) enum WatchEvent {
     /// The key changed.
     Changed(Entry),
     /// The watch began: every change from now on is seen.
@@ -94,11 +94,11 @@
     #[serde(default)]
     created: bool,
     #[serde(default)]
-    events: Vec<WatchEvent>,
+    events: Vec<WatchedEvent>,
 }
 
 #[derive(Deserialize)]
-struct WatchEvent {
+struct WatchedEvent {
     kv: Pair,
 }
 
@@ -127,7 +127,7 @@
     }
 
     /// Makes sure that a lease exists; one that exists is left as it is.
-    pub async fn grant(&self, lease: u64, ttl_seconds: u64) -> Result<(), Error> {
+    pub async fn ensure_lease(&self, lease: u64, ttl_seconds: u64) -> Result<(), Error> {
         let body = json!({ "ID": lease.to_string(), "TTL": ttl_seconds.to_string() });
         let (status, answer) = self.exchange("/v3/lease/grant", &body).await?;
         let exists = String::from_utf8_lossy(&answer).contains("lease already exists");
@@ -147,7 +147,7 @@
     }
 
     /// Writes a key if it has the expected revision.
-    pub async fn swap(&self, write: Write<'_>) -> Result<Swap, Error> {
+    pub async fn swap(&self, write: Write<'_>) -> Result<SwapOutcome, Error> {
         let key = BASE64_STANDARD.encode(write.key);
         let body = json!({
             "compare": [{
@@ -165,18 +165,18 @@
         });
         let txn: Txn = self.call("/v3/kv/txn", &body).await?;
         if txn.succeeded {
-            return Ok(Swap::Done(number(&txn.header.revision)?));
+            return Ok(SwapOutcome::Written(number(&txn.header.revision)?));
         }
         let range = txn.responses.into_iter().next();
         let range = range.and_then(|response| response.response_range);
         match range {
-            None => Ok(Swap::Lost(None)),
-            Some(range) => Ok(Swap::Lost(range.entry()?)),
+            None => Ok(SwapOutcome::Conflict(None)),
+            Some(range) => Ok(SwapOutcome::Conflict(range.entry()?)),
         }
     }
 
     /// Waits for changes of a key and hands what it sees to `take`, until the connection ends.
-    pub async fn watch(&self, key: &str, mut take: impl FnMut(Seen)) -> Result<(), Error> {
+    pub async fn watch(&self, key: &str, mut take: impl FnMut(WatchEvent)) -> Result<(), Error> {
         let body = json!({ "create_request": { "key": BASE64_STANDARD.encode(key) } });
         let request = http::post(self.address, "/v3/watch", &body);
         let response = timeout(self.patience, self.http.send(request)).await;
@@ -191,10 +191,10 @@
                 let line: Vec<u8> = buffer.drain(..=end).collect();
                 let watched: Watched = parse(&line)?;
                 if watched.result.created {
-                    take(Seen::Created);
+                    take(WatchEvent::Created);
                 }
                 for event in watched.result.events {
-                    take(Seen::Changed(event.kv.entry()?));
+                    take(WatchEvent::Changed(event.kv.entry()?));
                 }
             }
         }
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/store_sync.rs
@@ -2,9 +2,9 @@
 //! that the core's informer wants, and hands on what these bring.
 
 use super::*;
-use feed::{Client, Log};
-use members::{Members, Own};
+use members::{LocalMember, Members};
 use platform::store::{Change, Item};
+use platform_store::{Client, Log};
 use tokio::task::AbortHandle;
 use wellplank_core::{
     informer::Informer,
@@ -22,7 +22,7 @@
 const ODD_TEXT: usize = 200;
 
 /// What the task needs.
-pub(crate) struct Learner {
+pub(crate) struct StoreSync {
     /// Time within which what the store says must be known.
     pub bound: StalenessBound,
     /// Client of the store.
@@ -40,7 +40,7 @@
     /// Other instances.
     pub members: watch::Receiver<Members>,
     /// This instance.
-    pub own: Own,
+    pub own: LocalMember,
     /// Where other instances are told.
     pub told: mpsc::UnboundedSender<gossip::Told>,
 }
@@ -66,16 +66,16 @@
     calls: HashMap<u64, AbortHandle>,
     ends: mpsc::UnboundedSender<Ended>,
     informer: Informer,
-    learner: Learner,
+    learner: StoreSync,
     /// The configuration that was read last: what callers may send, and its revision in the store.
     limits: (platform::configuration::Limits, u64),
     logs: [Log; 2],
 }
 
-impl Learner {
+impl StoreSync {
     /// What this instance does among the others.
     fn role(&self, members: &Members) -> Input {
-        Input::Role(self.own.role(members), self.own.turn(members))
+        Input::Role(self.own.role(members), self.own.watcher_rank(members))
     }
 
     /// Serves for ever; `heard` is what other instances let this one know.
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/store_writer.rs
@@ -2,7 +2,7 @@
 //! these are known after all instances were lost at once.
 
 use super::*;
-use members::{Member, Members, Own};
+use members::{LocalMember, Member, Members};
 use rand::RngExt;
 use wellplank_core::{fingerprint::RequestFingerprint, quarantine::CrashHistory};
 
@@ -76,7 +76,7 @@
     }
 
     /// Takes in what an instance told of a stream.
-    pub fn take(&mut self, sighting: &peers::Sighting) {
+    pub fn apply(&mut self, sighting: &peers::Sighting) {
         match sighting.stage() {
             peers::Stage::Ended | peers::Stage::Left => {
                 self.0.remove(&sighting.prompt);
@@ -96,55 +96,55 @@
 
 /// What is kept of a request that ends its upstreams; it outlives all instances.
 #[derive(Clone, Debug)]
-pub(crate) enum Kept {
+pub(crate) enum QuarantineUpdate {
     /// The ends that it is guilty by.
-    Ends(RequestFingerprint, CrashHistory),
+    Quarantined(RequestFingerprint, CrashHistory),
     /// It is guilty no longer.
-    Nothing(RequestFingerprint),
+    Cleared(RequestFingerprint),
 }
 
-impl Kept {
+impl QuarantineUpdate {
     fn print(&self) -> RequestFingerprint {
         match self {
-            Self::Ends(print, _) | Self::Nothing(print) => *print,
+            Self::Quarantined(print, _) | Self::Cleared(print) => *print,
         }
     }
 
     fn call(&self) -> platform::store::Call {
         let key = format!("{QUARANTINE}{}", self.print());
         match self {
-            Self::Ends(_, account) => {
+            Self::Quarantined(_, account) => {
                 let ends = account::encode(account);
                 let value = peers::Ends { ends }.encode_to_vec();
                 platform::store::put(&key, &value, NO_LEASE)
             }
-            Self::Nothing(_) => platform::store::remove(&key),
+            Self::Cleared(_) => platform::store::remove(&key),
         }
     }
 }
 
 /// What the task needs.
-pub(crate) struct Keeper {
+pub(crate) struct StoreWriter {
     /// Client of the store.
-    pub client: feed::Client,
+    pub client: platform_store::Client,
     /// The core task.
     pub driver: Driver,
-    /// Requests to be refused also after all instances were lost.
-    pub kept: mpsc::UnboundedReceiver<Kept>,
     /// Where this instance's datagrams come.
     pub listen: SocketAddr,
     /// Other instances.
     pub members: watch::Receiver<Members>,
     /// This instance.
-    pub own: Own,
+    pub own: LocalMember,
+    /// Requests to be refused also after all instances were lost.
+    pub quarantine_updates: mpsc::UnboundedReceiver<QuarantineUpdate>,
     /// Requests that this instance wrote since they end their upstreams: a store that comes back from an older copy may lack
     /// them.
-    pub quarantined: BTreeMap<RequestFingerprint, Kept>,
+    pub quarantined: BTreeMap<RequestFingerprint, QuarantineUpdate>,
     /// Streams that instances told of, this one's with them.
     pub streams: watch::Receiver<Streams>,
 }
 
-impl Keeper {
+impl StoreWriter {
     /// Enters this instance in the store and keeps streams there, for ever. What was kept before its start
     /// is read first.
     pub async fn run(mut self) {
@@ -170,7 +170,7 @@
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
-                Some(kept) = self.kept.recv() => {
+                Some(kept) = self.quarantine_updates.recv() => {
                     unwritten.insert(kept.print(), kept);
                 }
             }
@@ -191,7 +191,7 @@
                 debug!("entering this instance: {error}");
                 continue;
             }
-            let keeps = self.own.keeps(&self.members.borrow());
+            let keeps = self.own.persists_streams(&self.members.borrow());
             if keeps && self.streams.has_changed().unwrap_or(false) {
                 let streams = self.streams.borrow_and_update().encode();
                 if let Err(error) = lease.put(&kept, &streams).await {
@@ -202,7 +202,7 @@
     }
 
     /// Writes what is to be kept of requests that end their upstreams; what can not be written now is tried again.
-    async fn write(&mut self, unwritten: &mut BTreeMap<RequestFingerprint, Kept>) {
+    async fn write(&mut self, unwritten: &mut BTreeMap<RequestFingerprint, QuarantineUpdate>) {
         while let Some((print, kept)) = unwritten.pop_first() {
             let written = match self.client.call(kept.call(), PATIENCE).await {
                 Ok(answer) if answer.status == StatusCode::OK => {
@@ -219,16 +219,16 @@
     }
 
     /// Remembers what is written, to write it again.
-    fn note_kept(&mut self, print: RequestFingerprint, kept: Kept) {
+    fn note_kept(&mut self, print: RequestFingerprint, kept: QuarantineUpdate) {
         match kept {
-            Kept::Ends(..) => self.quarantined.insert(print, kept),
-            Kept::Nothing(_) => self.quarantined.remove(&print),
+            QuarantineUpdate::Quarantined(..) => self.quarantined.insert(print, kept),
+            QuarantineUpdate::Cleared(_) => self.quarantined.remove(&print),
         };
     }
 
     /// Reads the requests that were kept since they end their upstreams. Read before the streams, so that none of them goes on.
     async fn recall_ends(&self) {
-        let mut link = feed::Link::new("quarantine", &self.client);
+        let mut link = platform_store::Link::new("quarantine", &self.client);
         let items = loop {
             let age = wellplank_core::informer_io::Consistency::Serializable;
             let read = self.client.items(QUARANTINE, link.patience(), age);
@@ -254,7 +254,7 @@
     /// since nothing can be written to it either. Callers who come back noticed the loss of their instances
     /// only after seconds, so the read may be as old.
     async fn recall(&self) {
-        let mut link = feed::Link::new("streams", &self.client);
+        let mut link = platform_store::Link::new("streams", &self.client);
         let items = loop {
             let read = self.client.items(
                 STREAMS,
@@ -285,7 +285,7 @@
 
 /// The lease that this instance's entries end with.
 struct Lease {
-    client: feed::Client,
+    client: platform_store::Client,
     granted: Option<Granted>,
 }
 
@@ -323,7 +323,8 @@
             None => {
                 let asked = Instant::now();
                 let call = platform::store::grant_lease(LEASE);
-                let feed::Answer { body, status, .. } = self.client.call(call, PATIENCE).await?;
+                let platform_store::Answer { body, status, .. } =
+                    self.client.call(call, PATIENCE).await?;
                 if status != StatusCode::OK {
                     return Err(Error::Store(format!("lease: {status}")));
                 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -3,7 +3,7 @@
 use {
     googletest::prelude::*,
     wellplank_core::role::Role,
-    wellplank_node::members::{Member, Members, Own},
+    wellplank_node::members::{LocalMember, Member, Members},
 };
 
 /// Data centres of the fleets.
@@ -22,8 +22,8 @@
         }
     }
 
-    fn own(&self, index: usize) -> Own {
-        Own {
+    fn own(&self, index: usize) -> LocalMember {
+        LocalMember {
             data_centre: format!("dc-{}", index % DATA_CENTRES),
             name: self.names[index].clone(),
         }
@@ -72,12 +72,12 @@
 fn instance_that_knows_nobody_is_on_its_own() {
     let test = Test::new(60);
     expect_that!(test.own(3).role(&Members::new()), eq(Role::Independent));
-    expect_that!(test.own(3).keeps(&Members::new()), eq(true));
+    expect_that!(test.own(3).persists_streams(&Members::new()), eq(true));
 }
 
 #[gtest]
 fn two_instances_keep_the_streams_of_all() {
     let test = Test::new(60);
-    let keeps = |index: &usize| test.own(*index).keeps(&test.members(*index));
+    let keeps = |index: &usize| test.own(*index).persists_streams(&test.members(*index));
     expect_that!((0..60).filter(keeps).count(), eq(2));
 }
--- a/crates/node/tests/keeper.rs
+++ b/crates/node/tests/store_writer.rs
@@ -2,7 +2,7 @@
 
 use {
     googletest::prelude::*,
-    wellplank_node::keeper::Streams,
+    wellplank_node::store_writer::Streams,
     wellplank_wire::peer::{Sighting, Stage},
 };
 
@@ -19,10 +19,10 @@
 #[gtest]
 fn stream_is_known_until_it_ends() {
     let mut streams = Streams::default();
-    streams.take(&told(1, Stage::Started));
-    streams.take(&told(2, Stage::Started));
-    streams.take(&told(1, Stage::Ended));
-    streams.take(&told(2, Stage::Left));
+    streams.apply(&told(1, Stage::Started));
+    streams.apply(&told(2, Stage::Started));
+    streams.apply(&told(1, Stage::Ended));
+    streams.apply(&told(2, Stage::Left));
     expect_that!(streams.is_empty(), eq(true));
 }
 
@@ -30,7 +30,7 @@
 fn streams_whose_end_was_never_told_do_not_gather() {
     let mut streams = Streams::default();
     for prompt in 1..=20_000 {
-        streams.take(&told(prompt, Stage::Started));
+        streams.apply(&told(prompt, Stage::Started));
     }
     expect_that!(streams.len(), le(4_000));
 }
--- a/crates/standin/src/learning.rs
+++ b/crates/standin/src/learning.rs
@@ -16,7 +16,7 @@
     roster::RosterUpdate,
     staleness::StalenessBound,
 };
-use wellplank_node::members::{Member, Members, Own};
+use wellplank_node::members::{LocalMember, Member, Members};
 
 /// When a run begins; a time above zero, as of a real clock.
 const BEGIN: Time = Time(1_000_000);
@@ -83,7 +83,7 @@
     life: u32,
     member: Member,
     name: String,
-    own: Own,
+    own: LocalMember,
     refused: Option<(Failing, Time)>,
     /// When it is called next at the latest.
     wake: Time,
@@ -232,7 +232,7 @@
                     data_centre: data_centre.clone(),
                 },
                 name: name.clone(),
-                own: Own { data_centre, name },
+                own: LocalMember { data_centre, name },
                 refused: None,
                 wake: Time::default(),
             }
@@ -679,7 +679,7 @@
         self.later(pause, Event::Look(node, life));
         let own = &self.nodes[node].own;
         let input = if answered {
-            Input::Role(own.role(&members), own.turn(&members))
+            Input::Role(own.role(&members), own.watcher_rank(&members))
         } else {
             Input::Tick
         };
