--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -1,35 +1,35 @@
-//! An instance on the users' platform: its tasks, started and stopped together.
+//! An instance on the users' platform: starts and stops its tasks.
 
 use super::*;
 use salvo::fuse::{FuseAction, FuseConfig, FuseInfo};
 use settings::Hosted;
 use wellplank_core::{informer_io::KnownState, staleness::StalenessBound};
 
-/// Time between two looks at whether a stopping instance may leave.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks whether a stopping instance may exit.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after a signal to stop before which the instance does not leave: the balancer sends new
-/// callers for two of its looks, one second apart, and one second more is left for their requests.
-const STAY: Duration = Duration::from_millis(3_500);
+/// Minimum time between the signal to stop and the exit: the load balancer sends new callers for up to two of its
+/// readiness checks, which are one second apart, and a further second is reserved for their requests.
+const DRAIN_TIME_MIN: Duration = Duration::from_millis(3_500);
 
-/// Time before the end of the grace time at which what still runs is cut.
-const MARGIN: Duration = Duration::from_millis(150);
+/// Time before the end of the grace period at which requests that still run are aborted.
+const GRACE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Time that a connection may rest or take for a head, over what the limits say: callers take up
-/// connections that have rested for nearly as long, and a close must not cross a request.
-const IDLE_MARGIN: f64 = 1.25;
+/// Factor by which the server's idle and header time-outs exceed the configured limit: callers reuse connections that
+/// have been idle for nearly as long as it, and the server must not close one while a request is on its way.
+const IDLE_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// The endpoint by which the platform learns whether the instance is ready.
-struct Ready {
+/// Readiness check of the platform.
+struct ReadinessEndpoint {
     known: watch::Receiver<KnownState>,
     stopping: relay::Stopping,
 }
 
-/// The endpoint of the page of counters.
-struct Page(meter::Meter);
+/// Metrics in the Prometheus text format.
+struct MetricsEndpoint(meter::Meter);
 
 #[salvo::handler]
-impl Page {
+impl MetricsEndpoint {
     fn handle(&self, response: &mut salvo::Response) {
         let _ = response.add_header(header::CONTENT_TYPE, "text/plain; version=0.0.4", true);
         let _ = response.write_body(self.0.page());
@@ -37,10 +37,10 @@
 }
 
 #[salvo::handler]
-impl Ready {
+impl ReadinessEndpoint {
     fn handle(&self, response: &mut salvo::Response) {
-        let configured = self.known.borrow().configuration.is_some();
-        let ready = configured && self.stopping.borrow().is_none();
+        let is_configured = self.known.borrow().configuration.is_some();
+        let ready = is_configured && self.stopping.borrow().is_none();
         caller::write_ready(response, ready);
     }
 }
@@ -52,17 +52,17 @@
     stop: watch::Sender<Option<relay::Stop>>,
 }
 
-/// Runs an instance until it is told to stop and has stopped. Its settings file is read again on
-/// SIGHUP and when it has changed.
+/// Runs an instance until it has stopped after a termination signal. Reloads its settings file on SIGHUP and when the
+/// file has changed.
 pub async fn run(path: PathBuf, settings: Settings, hosted: Hosted) -> Result<(), Error> {
     let mut instance = Instance::start(settings.clone(), hosted).await?;
-    let mut reload = reload::Reload::new(path, settings);
-    let terminated = instance::terminated();
-    tokio::pin!(terminated);
+    let mut settings_watcher = reload::SettingsWatcher::new(path, settings);
+    let termination = instance::terminated();
+    tokio::pin!(termination);
     loop {
         tokio::select! {
-            () = &mut terminated => break,
-            settings = reload.next() => instance.configure(&settings),
+            () = &mut termination => break,
+            settings = settings_watcher.next() => instance.configure(&settings),
         }
     }
     instance.stop().await;
@@ -70,80 +70,87 @@
 }
 
 impl Instance {
-    /// Starts every task of an instance.
+    /// Starts all tasks of an instance.
     pub async fn start(settings: Settings, hosted: Hosted) -> Result<Self, Error> {
         let clock = Clock::new();
-        let (account, ends_known) = watch::channel(account::Known::default());
-        let (heard, hearing) = mpsc::unbounded_channel();
-        let (kept, keeping) = mpsc::unbounded_channel();
-        let (known, own) = watch::channel(KnownState::default());
-        let (limits, limited) = watch::channel(platform::configuration::Limits::default());
+        let (crash_history_sender, crash_history_receiver) =
+            watch::channel(account::Known::default());
+        let (heard, peer_reports) = mpsc::unbounded_channel();
+        let (quarantine_sender, quarantine_receiver) = mpsc::unbounded_channel();
+        let (known_state_sender, known_state) = watch::channel(KnownState::default());
+        let (limits, limits_receiver) = watch::channel(platform::configuration::Limits::default());
         let (stop, stopping) = watch::channel(None);
-        let (told, telling) = mpsc::unbounded_channel();
-        let telling_others = told.clone();
+        let (gossip_sender, gossip_receiver) = mpsc::unbounded_channel();
+        let gossip_messages = gossip_sender.clone();
         let meter = meter::Meter::new(settings.metrics);
         let bound = StalenessBound {
             bound_ms: hosted.apply_ms.min(hosted.leave_ms),
         };
         let client = platform_store::Client::new(hosted, bound, clock, meter.clone());
-        let page = Page(meter.clone());
-        let this = members::LocalMember {
+        let metrics = MetricsEndpoint(meter.clone());
+        let own = members::LocalMember {
             data_centre: settings.data_centre.clone(),
             name: settings.instance.clone(),
         };
-        let ends = driver::Ends {
-            account,
+        let outputs = driver::Ends {
+            account: crash_history_sender,
             claims: mpsc::unbounded_channel().0,
-            kept,
+            kept: quarantine_sender,
             leaving: watch::channel(driver::Leaving::new()).0,
             meter,
-            told,
+            told: gossip_sender,
             traffic: Traffic::default(),
         };
-        let (driver, _) = Driver::start(&settings, clock, ends);
+        let (driver, _) = Driver::start(&settings, clock, outputs);
 
-        let ready = Ready {
-            known: own.clone(),
+        let ready = ReadinessEndpoint {
+            known: known_state.clone(),
             stopping: stopping.clone(),
         };
-        let idle = limited.clone();
+        let server_limits = limits_receiver.clone();
         let ready = Router::with_path("{**path}").goal(ready);
-        serve(hosted.ready, ready, idle.clone()).await?;
+        serve(hosted.ready, ready, server_limits.clone()).await?;
         let endpoint = relay::Endpoint {
             driver: driver.clone(),
-            limits: limited,
+            limits: limits_receiver,
             stopping,
         };
         let callers = Router::with_path("{**path}").goal(endpoint);
-        serve(settings.listen.callers, callers, idle.clone()).await?;
-        let page = Router::with_path("metrics").get(page);
-        serve(hosted.metrics, page, idle).await?;
+        serve(settings.listen.callers, callers, server_limits.clone()).await?;
+        let metrics = Router::with_path("metrics").get(metrics);
+        serve(hosted.metrics, metrics, server_limits).await?;
         let gossip = gossip::Gossip {
-            account: ends_known,
+            account: crash_history_receiver,
             client: client.clone(),
             driver: driver.clone(),
             heard,
-            kept: keeping,
-            known: own,
+            kept: quarantine_receiver,
+            known: known_state,
             link_mbps: hosted.link_mbps,
             listen: hosted.peers,
-            own: this.clone(),
+            own: own.clone(),
         };
-        let members = gossip.start(telling_others.clone(), telling).await?;
-        tokio::spawn(count(members.clone(), this.clone(), driver.clone()));
-        let learner = store_sync::StoreSync {
+        let members = gossip
+            .start(gossip_messages.clone(), gossip_receiver)
+            .await?;
+        tokio::spawn(publish_members(
+            members.clone(),
+            own.clone(),
+            driver.clone(),
+        ));
+        let store_sync = store_sync::StoreSync {
             bound,
             client,
             clock,
             driver: driver.clone(),
-            known,
+            gossip: gossip_messages,
+            known_state: known_state_sender,
             leave_ms: hosted.leave_ms,
             limits,
             members,
-            own: this,
-            told: telling_others,
+            own,
         };
-        tokio::spawn(learner.run(hearing));
+        tokio::spawn(store_sync.run(peer_reports));
         let address = settings.listen.callers.to_string();
         let data_centre = settings.data_centre.as_str();
         let peers = hosted.peers.to_string();
@@ -156,7 +163,7 @@
         })
     }
 
-    /// Takes those of other settings that can change while it runs.
+    /// Applies those settings that can change while the instance runs.
     pub fn configure(&mut self, settings: &Settings) {
         self.driver.configure(settings.core.clone());
         if let Some(hosted) = settings.hosted {
@@ -164,19 +171,19 @@
         }
     }
 
-    /// Stops as planned: is no longer ready, goes on with what it has and what still comes, and
-    /// leaves when nothing runs any more or the grace time ends.
+    /// Shuts down gracefully: reports that it is not ready, continues to serve running and new requests, and returns when
+    /// none is running any more or the grace period ends.
     pub async fn stop(self) {
         let begun = Instant::now();
-        let last = self.grace.saturating_sub(MARGIN);
-        let end = begun + last;
+        let drain_time_max = self.grace.saturating_sub(GRACE_MARGIN);
+        let end = begun + drain_time_max;
         info!("stopping");
         self.stop.send_replace(Some(relay::Stop { begun, end }));
         loop {
-            sleep(LOOK).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
             let running = self.driver.status().await.running;
             let elapsed = begun.elapsed();
-            if elapsed >= last || (running == 0 && elapsed >= STAY) {
+            if elapsed >= drain_time_max || (running == 0 && elapsed >= DRAIN_TIME_MIN) {
                 info!(running; "stopped");
                 return;
             }
@@ -184,8 +191,8 @@
     }
 }
 
-/// Tells the core which instances there are, for ever.
-async fn count(
+/// Passes each change of the fleet's members to the core until the instance ends.
+async fn publish_members(
     mut members: watch::Receiver<members::Members>,
     own: members::LocalMember,
     driver: Driver,
@@ -199,7 +206,7 @@
     }
 }
 
-/// Serves a router at an address for ever. New connections may rest as long as the limits in force say.
+/// Starts to serve a router at an address. The idle time-out of a new connection follows from the limits in force.
 async fn serve(
     address: SocketAddr,
     router: Router,
@@ -210,7 +217,7 @@
         .await
         .map_err(|error| Error::Bind(address, std::io::Error::other(error)))?;
     let fuse = move |_: &FuseInfo| {
-        let idle = limits.borrow().idle_timeout.mul_f64(IDLE_MARGIN);
+        let idle = limits.borrow().idle_timeout.mul_f64(IDLE_TIMEOUT_FACTOR);
         FuseAction::Accept(FuseConfig::disabled().with_http1_header_timeout(idle))
     };
     tokio::spawn(Server::new(acceptor).fuse_policy(fuse).serve(router));
--- a/crates/node/src/instance_list.rs
+++ b/crates/node/src/instance_list.rs
@@ -1,16 +1,16 @@
-//! The platform's list of instances: `GET /instances`, read again and again; it lags.
+//! The platform's list of instances, polled with `GET /instances`. The list lags behind the fleet.
 
 use super::*;
 
-/// Time that the list has to answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time-out of a read.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One line of the list.
+/// An instance on the list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub(crate) struct ListedInstance {
-    /// Where it listens for the system.
+    /// Address on which it listens for other instances.
     pub address: SocketAddr,
-    /// Data centre that it stands in.
+    /// Data centre in which it runs.
     pub data_centre: String,
     /// Unique name.
     pub instance: String,
@@ -20,18 +20,18 @@
     pub leaving: bool,
 }
 
-/// What a read of the list gave.
-enum Read {
-    /// New lines, and the tag by which the next read asks whether they changed.
+/// Result of a read.
+enum ReadResult {
+    /// The instances, and the entity tag with which the next read asks whether they have changed.
     Changed(Vec<ListedInstance>, Option<header::HeaderValue>),
-    /// No answer.
+    /// No valid response in time.
     Failed,
-    /// The lines are those of the last read.
-    Same,
+    /// The list has not changed since the last read.
+    Unchanged,
 }
 
-/// Reads the list for ever and tells the core task and the other tasks. A list that has not changed
-/// since the last read is not sent again.
+/// Polls the list until the instance ends and passes it to the core task and the other tasks. The list service does not
+/// send a list again that has not changed since the last read.
 pub(crate) async fn poll(
     settings: Settings,
     clock: Clock,
@@ -42,58 +42,60 @@
     let http = Http::control(&traffic);
     let mut ticks = interval(Duration::from_millis(settings.list_ms));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut tag = None;
+    let mut etag = None;
     loop {
         ticks.tick().await;
-        let asked = clock.now();
-        match read(&http, settings.platform.list, tag.as_ref()).await {
-            Read::Changed(lines, new_tag) => {
-                tag = new_tag;
-                let listed = Some(lines.iter().map(listed).collect());
+        let requested_at = clock.now();
+        match read(&http, settings.platform.list, etag.as_ref()).await {
+            ReadResult::Changed(instances, new_etag) => {
+                etag = new_etag;
+                let entries = Some(instances.iter().map(list_entry).collect());
                 driver.event(Event::List {
-                    requested_at: asked,
-                    entries: listed,
+                    requested_at,
+                    entries,
                 });
-                sender.send_replace(lines);
+                sender.send_replace(instances);
             }
-            Read::Failed => warn!("the platform's list did not answer"),
-            Read::Same => driver.event(Event::List {
-                requested_at: asked,
+            ReadResult::Failed => warn!("reading the platform's list of instances failed"),
+            ReadResult::Unchanged => driver.event(Event::List {
+                requested_at,
                 entries: None,
             }),
         }
     }
 }
 
-fn listed(line: &ListedInstance) -> event::ListEntry {
+fn list_entry(instance: &ListedInstance) -> event::ListEntry {
     event::ListEntry {
-        address: line.address,
+        address: instance.address,
         born: 0,
-        data_centre: line.data_centre.clone(),
-        leaving: line.leaving,
-        name: line.instance.clone(),
-        pool: line.pool.clone(),
+        data_centre: instance.data_centre.clone(),
+        leaving: instance.leaving,
+        name: instance.instance.clone(),
+        pool: instance.pool.clone(),
         since: Position::default(),
         slots: 0,
         version: String::new(),
     }
 }
 
-async fn read(http: &Http, address: SocketAddr, tag: Option<&header::HeaderValue>) -> Read {
+async fn read(http: &Http, address: SocketAddr, etag: Option<&header::HeaderValue>) -> ReadResult {
     let mut request = http::get(address, "/instances");
-    if let Some(tag) = tag {
+    if let Some(etag) = etag {
         let headers = request.headers_mut();
-        headers.insert(header::IF_NONE_MATCH, tag.clone());
+        headers.insert(header::IF_NONE_MATCH, etag.clone());
     }
-    let exchange = timeout(PATIENCE, http.exchange_whole(request));
+    let exchange = timeout(RESPONSE_TIMEOUT, http.exchange_whole(request));
     let Ok(Ok(response)) = exchange.await else {
-        return Read::Failed;
+        return ReadResult::Failed;
     };
-    let tag = response.headers().get(header::ETAG).cloned();
+    let etag = response.headers().get(header::ETAG).cloned();
     match response.status() {
-        StatusCode::NOT_MODIFIED => Read::Same,
+        StatusCode::NOT_MODIFIED => ReadResult::Unchanged,
         StatusCode::OK => serde_json::from_slice(response.body())
-            .map_or(Read::Failed, |lines| Read::Changed(lines, tag)),
-        _ => Read::Failed,
+            .map_or(ReadResult::Failed, |instances| {
+                ReadResult::Changed(instances, etag)
+            }),
+        _ => ReadResult::Failed,
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -1,5 +1,5 @@
-//! The instances of the fleet on the users' platform, as they enter themselves in its store, and what each
-//! of them does for the others.
+//! The instances of the fleet on the users' platform, discovered through the entries that they register in its store,
+//! and the role of each.
 
 use super::*;
 use wellplank_core::{
@@ -8,193 +8,200 @@
     role::{Role, WatcherRank},
 };
 
-/// Start of the keys under which instances enter themselves.
+/// Key prefix of the instances' entries.
 pub(crate) const PREFIX: &str = "wellplank/instances/";
 
-/// Time between two reads of the instances while few are known. The reads may be seconds old and cost a
-/// tenth of others; a new instance asks the store itself until it is known.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval between two reads of the instances while few are known. The reads are serializable, may be seconds old and
+/// cost a tenth of linearizable ones. A new instance reads the store itself until the others know it.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same in a large fleet, where such reads are many: each 2 s they were half as many calls as all others.
-const LOOK_LARGE: Duration = Duration::from_secs(8);
+/// The same in a large fleet: at an interval of 2 s these reads were half as many calls as all others together.
+const POLL_INTERVAL_LARGE_FLEET: Duration = Duration::from_secs(8);
 
-/// The same while no other instance is known: those that start together do not know each other at first, and
-/// each watches the store until they do.
-const LOOK_ALONE: Duration = Duration::from_millis(500);
+/// The same while no other instance is known: instances that start together do not know each other at first, and each
+/// of them watches the store until they do.
+const POLL_INTERVAL_ALONE: Duration = Duration::from_millis(500);
 
-/// Age of what reads of the instances show, at most, with the time that they take.
-const READ_AGE: Duration = Duration::from_secs(2);
+/// Maximum age of the result of a read of the instances, including the duration of the read.
+const READ_STALENESS_MAX: Duration = Duration::from_secs(2);
 
-/// Time from its start for which an instance that knows no other one looks so often; then there is none.
-const ALONE: Duration = Duration::from_secs(5);
+/// Time from the start for which an instance that knows no other polls at the short interval. After it, the instance
+/// is taken to be the only one.
+const DISCOVERY_PERIOD: Duration = Duration::from_secs(5);
 
-/// Time for which instances are believed whose entries are missing, behind a return of the store from an older copy: they write them
-/// again within two seconds, and these reads may be as old. Without it each of hundreds would take itself for one of few and
-/// watch the store for itself.
-const BELIEVED: Duration = Duration::from_secs(6);
+/// Time after a restore of the store from a backup for which instances with missing entries are taken to exist: they
+/// write their entries again within two seconds, and reads may be as old. Otherwise each of hundreds of instances would
+/// assume a small fleet and watch the store for itself.
+const RESTORE_GRACE: Duration = Duration::from_secs(6);
 
-/// Instances up to which each of them watches the store: there a watch each costs less than telling.
+/// Maximum size of a fleet in which each instance watches the store: there the watches cost less than announcements.
 pub(crate) const SMALL_FLEET_MAX: usize = 12;
 
-/// Instances that keep the streams of all in the store; one of them may be lost.
-const KEEPERS: usize = 2;
+/// Number of instances that write the streams of all instances to the store, so that one of them may be lost.
+const STREAM_WRITERS: usize = 2;
 
 /// Another instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct Member {
-    /// Where its datagrams come.
+    /// Address on which it receives datagrams.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
 }
 
 /// Other instances by name.
 pub type Members = BTreeMap<String, Member>;
 
-/// This instance among the others.
+/// This instance, whose role depends on the other members.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// Its name.
+    /// Name of its entry.
     pub name: String,
 }
 
 impl Member {
-    /// The value of its entry.
+    /// Encodes the value of its entry in the store.
     pub fn encode(&self) -> String {
         json!({ "address": self.address, "data_centre": self.data_centre }).to_string()
     }
 }
 
 impl LocalMember {
-    /// Whether it keeps the streams of all instances in the store.
+    /// Whether it writes the streams of all instances to the store.
     pub fn persists_streams(&self, members: &Members) -> bool {
-        self.ranked_before(members.keys()) < KEEPERS
+        self.count_before(members.keys()) < STREAM_WRITERS
     }
 
-    /// The fleet as the core knows it.
+    /// The fleet in the form that the core requires.
     pub fn view(&self, members: &Members) -> View {
         View {
             others: members.keys().map(|name| upstream::id(name)).collect(),
             own: upstream::id(&self.name),
-            convergence_ms: (look(members.len()) + READ_AGE).as_millis() as u64,
+            convergence_ms: (poll_interval(members.len()) + READ_STALENESS_MAX).as_millis() as u64,
         }
     }
 
-    /// What it does for its data centre.
+    /// Its role in its data centre.
     pub fn role(&self, members: &Members) -> Role {
         if members.len() < SMALL_FLEET_MAX {
             return Role::Independent;
         }
-        let near = members
+        let local = members
             .iter()
             .filter(|(_, member)| member.data_centre == self.data_centre);
-        match self.ranked_before(near.map(|(name, _)| name)) {
+        match self.count_before(local.map(|(name, _)| name)) {
             0 => Role::Watcher,
             1 => Role::Standby,
             _ => Role::Follower,
         }
     }
 
-    /// Its place among those that watch the store for themselves: all of a small fleet, else the first of each data
-    /// centre.
+    /// Its rank among the watchers: all instances of a small fleet, otherwise the first one of each data centre.
     pub fn watcher_rank(&self, members: &Members) -> WatcherRank {
         match self.role(members) {
             Role::Independent => WatcherRank {
                 count: members.len() + 1,
-                rank: self.ranked_before(members.keys()),
+                rank: self.count_before(members.keys()),
             },
             Role::Watcher => {
                 let watchers = self.watchers(members);
                 WatcherRank {
                     count: watchers.len() + 1,
-                    rank: self.ranked_before(watchers.into_iter()),
+                    rank: self.count_before(watchers.into_iter()),
                 }
             }
             Role::Standby | Role::Follower => WatcherRank::default(),
         }
     }
 
-    /// The others that watch the store for themselves.
+    /// The other instances that watch the store: all of a small fleet, otherwise the first one of each other data centre.
     pub fn watchers<'a>(&self, members: &'a Members) -> BTreeSet<&'a String> {
         if members.len() < SMALL_FLEET_MAX {
             return members.keys().collect();
         }
         let mut first: BTreeMap<&str, (u64, &String)> = BTreeMap::new();
-        let far = |member: &Member| member.data_centre != self.data_centre;
-        for (name, member) in members.iter().filter(|(_, member)| far(member)) {
+        let is_remote = |member: &Member| member.data_centre != self.data_centre;
+        for (name, member) in members.iter().filter(|(_, member)| is_remote(member)) {
             let rank = (upstream::id(name), name);
-            let least = first.entry(&member.data_centre).or_insert(rank);
-            *least = rank.min(*least);
+            let lowest = first.entry(&member.data_centre).or_insert(rank);
+            *lowest = rank.min(*lowest);
         }
         first.into_values().map(|(_, name)| name).collect()
     }
 
-    /// How many of some instances rank before it.
-    fn ranked_before<'a>(&self, names: impl Iterator<Item = &'a String>) -> usize {
+    /// Number of instances among `names` that rank before it.
+    fn count_before<'a>(&self, names: impl Iterator<Item = &'a String>) -> usize {
         let own = upstream::id(&self.name);
         names.filter(|name| upstream::id(name) < own).count()
     }
 }
 
-/// Time between two reads of the instances where so many others are known.
-fn look(others: usize) -> Duration {
+/// Interval between two reads of the instances, given the number of others that are known.
+fn poll_interval(others: usize) -> Duration {
     if others < SMALL_FLEET_MAX {
-        LOOK
+        POLL_INTERVAL
     } else {
-        LOOK_LARGE
+        POLL_INTERVAL_LARGE_FLEET
     }
 }
 
-/// Keeps the other instances as the store lists them, for ever.
+/// Polls the store for the other instances and publishes them until the instance ends.
 pub(crate) async fn discover(
     client: platform_store::Client,
     own: String,
-    found: watch::Sender<Members>,
+    sender: watch::Sender<Members>,
 ) {
-    let begun = Instant::now();
-    let mut link = platform_store::Link::new("instances", &client);
+    let started_at = Instant::now();
+    let mut retry_state = platform_store::RetryState::new("instances", &client);
     let mut era = None;
-    let mut believed_until = begun;
+    let mut grace_until = started_at;
     loop {
         match client
-            .items(PREFIX, link.patience(), Consistency::Serializable)
+            .read_prefix(
+                PREFIX,
+                retry_state.response_timeout(),
+                Consistency::Serializable,
+            )
             .await
         {
             Ok((items, _)) => {
-                link.good();
+                retry_state.record_success();
                 let mut members = decode(&items, &own);
-                let newest = client.absence().borrow().era();
-                if era.replace(newest).is_some_and(|era| era < newest) {
-                    believed_until = Instant::now() + BELIEVED;
+                let current_era = client.availability().borrow().era();
+                if era
+                    .replace(current_era)
+                    .is_some_and(|era| era < current_era)
+                {
+                    grace_until = Instant::now() + RESTORE_GRACE;
                 }
-                if Instant::now() < believed_until {
-                    let known = found.borrow().clone();
+                if Instant::now() < grace_until {
+                    let known = sender.borrow().clone();
                     members = known.into_iter().chain(members).collect();
                 }
-                found.send_if_modified(|known| {
-                    let changed = *known != members;
+                sender.send_if_modified(|known| {
+                    let is_changed = *known != members;
                     *known = members;
-                    changed
+                    is_changed
                 });
-                let pause = match found.borrow().len() {
-                    0 if begun.elapsed() < ALONE => LOOK_ALONE,
-                    others => look(others),
+                let pause = match sender.borrow().len() {
+                    0 if started_at.elapsed() < DISCOVERY_PERIOD => POLL_INTERVAL_ALONE,
+                    others => poll_interval(others),
                 };
                 sleep(pause).await;
             }
-            // Hundreds that ask on would pay for calls that are refused; those known are told meanwhile.
-            Err(error) if found.borrow().len() >= SMALL_FLEET_MAX => {
-                link.note(&error);
-                sleep(LOOK_LARGE).await;
+            // Refused calls are paid for, so hundreds of instances must not retry soon. Known ones still get datagrams.
+            Err(error) if sender.borrow().len() >= SMALL_FLEET_MAX => {
+                retry_state.record_failure(&error);
+                sleep(POLL_INTERVAL_LARGE_FLEET).await;
             }
-            Err(error) => link.bad(&error).await,
+            Err(error) => retry_state.back_off(&error).await,
         }
     }
 }
 
-/// The instances but `own`; entries that can not be read are left out.
+/// Decodes the instances without `own`; malformed entries are logged and skipped.
 fn decode(items: &[platform::store::Item], own: &str) -> Members {
     let mut members = Members::new();
     for item in items {
@@ -202,7 +209,7 @@
         let value = match item.bytes() {
             Ok(value) => value,
             Err(error) => {
-                warn!("no entry of an instance: {error}");
+                warn!("skipped a malformed instance entry: {error}");
                 continue;
             }
         };
@@ -211,7 +218,7 @@
             Ok(member) => {
                 members.insert(name.to_owned(), member);
             }
-            Err(error) => warn!("{}: no entry of an instance: {error}", item.key),
+            Err(error) => warn!("skipped a malformed instance entry {}: {error}", item.key),
         }
     }
     members
--- a/crates/node/src/platform_store.rs
+++ b/crates/node/src/platform_store.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's store.
+//! Client of the platform's key-value store.
 
 use super::*;
 use platform::store::{Call, Item, Page, WatchResponse};
@@ -6,336 +6,347 @@
     informer_io::Consistency, staleness::StalenessBound, store_calls::StoreCalls,
 };
 
-/// Time in which an answer that has begun must go on: as long as the kernel waits for a silent connection. However
-/// long a list is and however small the link, a piece of it comes sooner.
-const PIECE: Duration = Duration::from_secs(1);
+/// Maximum time between two chunks of a response: the time-out of the kernel for a silent connection. However long a
+/// list is and however slow the link, a chunk arrives sooner.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer of the store.
+/// A response of the store.
 #[derive(Debug)]
-pub(crate) struct Answer {
-    /// Body.
+pub(crate) struct Response {
+    /// JSON body.
     pub body: Bytes,
-    /// How often the store had come back from a copy; the newest that is known where the answer does not say.
+    /// Number of times that the store was restored from a backup; the newest known number if the response has none.
     pub era: u64,
-    /// Status.
+    /// HTTP status; an error status is a response too.
     pub status: StatusCode,
 }
 
-/// A client of the platform's store.
+/// A client of the platform's store. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct Client {
-    /// What calls showed of the store; clones of the client share it.
-    absence: Arc<watch::Sender<Availability>>,
     address: SocketAddr,
-    bound: StalenessBound,
+    /// Availability of the store as the results of all calls show it.
+    availability: Arc<watch::Sender<Availability>>,
     clock: Clock,
-    /// Makes and keeps connections; replaced when one of them may say nothing any more.
+    /// Connection pool; replaced when one of its connections may be dead.
     http: Arc<watch::Sender<Http>>,
     meter: meter::Meter,
+    staleness_bound: StalenessBound,
 }
 
 impl Client {
-    /// A client of the platform's store; what it says must be known within `bound`.
+    /// A client of the store of `hosted`; changes there must be known within the staleness bound.
     pub fn new(
         hosted: settings::Hosted,
-        bound: StalenessBound,
+        staleness_bound: StalenessBound,
         clock: Clock,
         meter: meter::Meter,
     ) -> Self {
-        let absence = Availability::new(hosted.heartbeat_ms);
+        let availability = Availability::new(hosted.heartbeat_ms);
         Self {
-            absence: Arc::new(watch::Sender::new(absence)),
             address: hosted.store,
-            bound,
+            availability: Arc::new(watch::Sender::new(availability)),
             clock,
             http: Arc::new(watch::Sender::new(Http::watching())),
             meter,
+            staleness_bound,
         }
     }
 
-    /// What the ends of all calls showed of the store.
-    pub fn absence(&self) -> watch::Receiver<Availability> {
-        self.absence.subscribe()
+    /// Availability of the store as the results of all calls show it.
+    pub fn availability(&self) -> watch::Receiver<Availability> {
+        self.availability.subscribe()
     }
 
-    /// Has later calls go over new connections: what took one of those that are kept may have taken all. Calls that are
-    /// out go on.
-    pub fn renew(&self) {
+    /// Makes later calls use new connections: the fault that broke one pooled connection may have broken all of them.
+    /// Pending calls continue.
+    pub fn reconnect(&self) {
         self.http.send_replace(Http::watching());
     }
 
-    /// Notes that the store has just answered another instance.
-    pub fn witness(&self) {
+    /// Records that the store has just answered another instance.
+    pub fn record_peer_success(&self) {
         let now = self.clock.now();
-        self.absence
-            .send_modify(|absence| absence.record_peer_success(now));
+        self.availability
+            .send_modify(|availability| availability.record_peer_success(now));
     }
 
-    /// Makes a call that does not wait.
-    pub async fn call(&self, call: Call, patience: Duration) -> Result<Answer, Error> {
-        let begun = Instant::now();
-        let answer = self.exchange(call, Duration::ZERO, patience).await?;
-        let millis = begun.elapsed().as_secs_f64() * 1_000.0;
+    /// Makes a call that the store answers without waiting for a change.
+    pub async fn call(&self, call: Call, response_timeout: Duration) -> Result<Response, Error> {
+        let started_at = Instant::now();
+        let response = self
+            .exchange(call, Duration::ZERO, response_timeout)
+            .await?;
+        let millis = started_at.elapsed().as_secs_f64() * 1_000.0;
         self.meter.time(meter::Timed::Store, millis);
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Makes a call that the store may hold for `wait`.
+    /// Makes a call that the store may delay for `wait`.
     async fn exchange(
         &self,
         call: Call,
         wait: Duration,
-        patience: Duration,
-    ) -> Result<Answer, Error> {
-        let due = self.clock.now().after(wait.as_millis() as u64);
-        let answer = self.send(call, wait + patience).await;
-        let answered = matches!(&answer, Ok(answer) if !is_refusal(answer.status));
-        self.absence.send_modify(|absence| {
-            if let Ok(answer) = &answer
-                && absence.observe_era(answer.era, self.clock.now())
+        response_timeout: Duration,
+    ) -> Result<Response, Error> {
+        let wait_end = self.clock.now().after(wait.as_millis() as u64);
+        let response = self.send(call, wait + response_timeout).await;
+        let is_answered = matches!(&response, Ok(response) if !is_refusal(response.status));
+        self.availability.send_modify(|availability| {
+            if let Ok(response) = &response
+                && availability.observe_era(response.era, self.clock.now())
             {
-                let era = answer.era;
-                warn!(era; "the store has come back from an older copy");
+                let era = response.era;
+                warn!(era; "the store was restored from a backup");
                 self.meter.count(Counter::StoreRestored, 1);
             }
-            if !answered {
+            if !is_answered {
                 let now = self.clock.now();
-                let is_silent = matches!(answer, Err(Error::Unanswered(_)));
-                absence.record_failure(if is_silent { due } else { now }, now);
-            } else if let Some(away_ms) = absence.record_success(self.clock.now()) {
+                let is_silent = matches!(response, Err(Error::Unanswered(_)));
+                availability.record_failure(if is_silent { wait_end } else { now }, now);
+            } else if let Some(away_ms) = availability.record_success(self.clock.now()) {
                 info!(away_ms; "the store is back");
             }
         });
-        answer
+        response
     }
 
-    async fn send(&self, call: Call, patience: Duration) -> Result<Answer, Error> {
+    async fn send(&self, call: Call, response_timeout: Duration) -> Result<Response, Error> {
         let request = Request::builder()
             .method(call.method)
             .uri(format!("http://{}{}", self.address, call.path))
             .header(header::CONTENT_TYPE, "application/json")
             .body(http::Body::from(call.body))
-            .expect("address and path make a uri");
+            .expect("address and path form a valid URI");
         let http = self.http.borrow().clone();
-        let response = timeout(patience, http.send(request))
+        let response = timeout(response_timeout, http.send(request))
             .await
             .map_err(|_| {
-                self.renew();
-                Error::Unanswered(patience.as_millis())
+                self.reconnect();
+                Error::Unanswered(response_timeout.as_millis())
             })?
             .map_err(|error| Error::Store(error.to_string()))?;
         let status = response.status();
         let era = self.era(response.headers());
-        let body = read(response.into_body()).await?;
-        Ok(Answer { body, era, status })
+        let body = read_body(response.into_body()).await?;
+        Ok(Response { body, era, status })
     }
 
-    /// How often the store had come back from a copy, by the head of an answer. One that does not say it, or not in a number, says
-    /// nothing against what is known.
+    /// Number of restores of the store from a backup, by the headers of a response; the newest known number if the
+    /// header is missing or malformed.
     fn era(&self, headers: &hyper::HeaderMap) -> u64 {
-        let known = self.absence.borrow().era();
+        let known = self.availability.borrow().era();
         match platform::store::era(headers) {
             Ok(era) => era.unwrap_or(known),
             Err(error) => {
-                warn!("an answer of the store: {error}");
+                warn!("malformed era in a response of the store: {error}");
                 self.meter.count(Counter::EntryInvalid("era"), 1);
                 known
             }
         }
     }
 
-    /// Reads all items under a prefix, and the position to watch from. Pages are no snapshot, so it
-    /// is that of the first one; pages of two eras are no answer.
-    pub async fn items(
+    /// Reads all items with a key prefix, and the position to watch from. The pages are not a snapshot, so the position
+    /// is that of the first one. Fails if the store is restored from a backup between two pages.
+    pub async fn read_prefix(
         &self,
         prefix: &str,
-        patience: Duration,
-        age: Consistency,
+        response_timeout: Duration,
+        consistency: Consistency,
     ) -> Result<(Vec<Item>, Position), Error> {
-        let (mut page, era) = self.page(prefix, None, patience, age).await?;
+        let (mut page, era) = self
+            .read_page(prefix, None, response_timeout, consistency)
+            .await?;
         let position = Position::new(era, page.revision);
         let mut items = std::mem::take(&mut page.items);
         while page.has_more {
             let last = items.last().map(|item| item.key.clone());
-            let last =
-                last.ok_or_else(|| Error::Store(format!("{prefix}: a page names no key")))?;
-            let next;
-            (page, next) = self.page(prefix, Some(&last), patience, age).await?;
-            if next != era {
+            let last = last.ok_or_else(|| Error::Store(format!("{prefix}: page without keys")))?;
+            let page_era;
+            (page, page_era) = self
+                .read_page(prefix, Some(&last), response_timeout, consistency)
+                .await?;
+            if page_era != era {
                 return Err(Error::Store(format!(
-                    "{prefix}: pages of the eras {era} and {next}"
+                    "{prefix}: the store was restored between pages, from era {era} to {page_era}"
                 )));
             }
             if page.items.is_empty() && page.has_more {
-                return Err(Error::Store(format!("{prefix}: a page names no key")));
+                return Err(Error::Store(format!("{prefix}: page without keys")));
             }
             items.append(&mut page.items);
         }
         Ok((items, position))
     }
 
-    async fn page(
+    async fn read_page(
         &self,
         prefix: &str,
         after: Option<&str>,
-        patience: Duration,
-        age: Consistency,
+        response_timeout: Duration,
+        consistency: Consistency,
     ) -> Result<(Page, u64), Error> {
-        let call = platform::store::range(prefix, after, age == Consistency::Serializable);
-        let Answer { body, era, status } = self.call(call, patience).await?;
+        let call = platform::store::range(prefix, after, consistency == Consistency::Serializable);
+        let Response { body, era, status } = self.call(call, response_timeout).await?;
         if status != StatusCode::OK {
             return Err(Error::Store(format!("reading {prefix}: {status}")));
         }
         let page = platform::store::decode_page(&body);
         let page = page.map_err(|error| Error::Store(error.to_string()))?;
-        self.leave_out(prefix, page.malformed);
+        self.report_malformed(prefix, page.malformed);
         Ok((page, era))
     }
 
-    /// Notes items that name no key, which are left out.
-    fn leave_out(&self, prefix: &str, odd: usize) {
-        if odd > 0 {
-            warn!(odd; "items of {prefix} name no key and are left out");
-            self.meter.count(Counter::EntryInvalid("item"), odd as u64);
+    /// Logs and counts items that were skipped because they have no key or no revision.
+    fn report_malformed(&self, prefix: &str, malformed: usize) {
+        if malformed > 0 {
+            warn!(odd = malformed; "skipped items of {prefix} that have no key or no revision");
+            self.meter
+                .count(Counter::EntryInvalid("item"), malformed as u64);
         }
     }
 
-    /// Waits for changes under a prefix behind a revision, and up to which position they are; `None` if these are forgotten.
-    pub async fn changes(
+    /// Waits for changes after a revision to keys with a prefix. Returns them with the position up to which they are
+    /// complete, or `None` if the store has compacted them.
+    pub async fn watch_prefix(
         &self,
         prefix: &str,
         revision: u64,
         wait: Duration,
-        patience: Duration,
+        response_timeout: Duration,
     ) -> Result<Option<(WatchResponse, Position)>, Error> {
         let call = platform::store::watch(prefix, revision, wait);
-        let Answer { body, era, status } = self.exchange(call, wait, patience).await?;
+        let Response { body, era, status } = self.exchange(call, wait, response_timeout).await?;
         if platform::store::is_compacted(status) {
             return Ok(None);
         }
         if status != StatusCode::OK {
             return Err(Error::Store(format!("watching {prefix}: {status}")));
         }
-        let seen = platform::store::decode_watch(&body);
-        let seen = seen.map_err(|error| Error::Store(error.to_string()))?;
-        self.leave_out(prefix, seen.malformed);
-        let position = Position::new(era, seen.revision);
-        Ok(Some((seen, position)))
+        let response = platform::store::decode_watch(&body);
+        let response = response.map_err(|error| Error::Store(error.to_string()))?;
+        self.report_malformed(prefix, response.malformed);
+        let position = Position::new(era, response.revision);
+        Ok(Some((response, position)))
     }
 }
 
-/// Whether the store did not do what it was asked, for want of itself or of calls left to this instance.
+/// Whether the store did not execute the call: it is unavailable, or this instance has used up its quota of calls.
 fn is_refusal(status: StatusCode) -> bool {
     status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS
 }
 
-/// Reads an answer that has begun, for as long as it goes on.
-async fn read(mut body: hyper::body::Incoming) -> Result<Bytes, Error> {
+/// Reads a response body; fails if no chunk arrives for a while.
+async fn read_body(mut body: hyper::body::Incoming) -> Result<Bytes, Error> {
     let mut bytes = BytesMut::new();
     loop {
-        let frame = timeout(PIECE, body.frame())
+        let frame = timeout(CHUNK_TIMEOUT, body.frame())
             .await
-            .map_err(|_| Error::Store(format!("an answer ended after {} bytes", bytes.len())))?;
+            .map_err(|_| Error::Store(format!("response stalled after {} bytes", bytes.len())))?;
         let Some(frame) = frame else {
             return Ok(bytes.freeze());
         };
         let frame = frame.map_err(|error| Error::Store(error.to_string()))?;
-        if let Some(piece) = frame.data_ref() {
-            bytes.extend_from_slice(piece);
+        if let Some(chunk) = frame.data_ref() {
+            bytes.extend_from_slice(chunk);
         }
     }
 }
 
-/// Reads of a part of the store by a task of its own, with pauses behind failures.
-pub(crate) struct Link {
+/// Time-outs and backoff of one task that reads a part of the store.
+pub(crate) struct RetryState {
+    calls: StoreCalls,
     client: Client,
-    line: StoreCalls,
-    log: Log,
+    log: AvailabilityLog,
 }
 
-/// Whether a part of the store answers; each change is logged once.
-pub(crate) struct Log {
+/// Logs when reads of a part of the store start to fail and when they succeed again.
+pub(crate) struct AvailabilityLog {
     clock: Clock,
-    /// When a call failed first; `None` while the store answers.
-    lost: Option<Time>,
-    what: &'static str,
+    /// When the first call failed; `None` while calls succeed.
+    failing_since: Option<Time>,
+    /// Part of the store, as log lines name it.
+    subject: &'static str,
 }
 
-impl Link {
-    /// A link that is believed to work; `what` names it in logs.
-    pub fn new(what: &'static str, client: &Client) -> Self {
+impl RetryState {
+    /// State before the first call; `subject` is the part of the store as log lines name it.
+    pub fn new(subject: &'static str, client: &Client) -> Self {
         Self {
+            calls: StoreCalls::default(),
             client: client.clone(),
-            line: StoreCalls::default(),
-            log: Log::new(what, client.clock),
+            log: AvailabilityLog::new(subject, client.clock),
         }
     }
 
-    /// Notes a call that failed, and waits before the next one: less if the store answers another call.
-    pub async fn bad(&mut self, error: &Error) {
-        self.note(error);
-        let mut absence = self.client.absence();
+    /// Records a failed call and waits for the backoff, which is shorter if the store answers another call.
+    pub async fn back_off(&mut self, error: &Error) {
+        self.record_failure(error);
+        let mut availability = self.client.availability();
         loop {
-            let may = self.line.next_call_at(&absence.borrow_and_update());
-            let left = may.since(self.client.clock.now());
-            if left == 0 {
+            let next_call_at = self.calls.next_call_at(&availability.borrow_and_update());
+            let remaining_ms = next_call_at.since(self.client.clock.now());
+            if remaining_ms == 0 {
                 return;
             }
             tokio::select! {
-                changed = absence.changed() => {
-                    changed.expect("the client is kept here");
+                changed = availability.changed() => {
+                    changed.expect("this state holds the client, and so the sender");
                 }
-                () = sleep(Duration::from_millis(left)) => {}
+                () = sleep(Duration::from_millis(remaining_ms)) => {}
             }
         }
     }
 
-    /// Notes an answer.
-    pub fn good(&mut self) {
-        self.line.record_success();
-        self.log.good();
+    /// Records a successful call, which resets the backoff.
+    pub fn record_success(&mut self) {
+        self.calls.record_success();
+        self.log.record_success();
     }
 
-    /// Notes a call that failed.
-    pub fn note(&mut self, error: &Error) {
-        let absence = *self.client.absence.borrow();
+    /// Records a failed call without waiting.
+    pub fn record_failure(&mut self, error: &Error) {
+        let availability = *self.client.availability.borrow();
         let now = self.client.clock.now();
-        self.line
-            .record_failure(false, &absence, self.client.bound, now);
-        self.log.bad(error);
+        self.calls
+            .record_failure(false, &availability, self.client.staleness_bound, now);
+        self.log.record_failure(error);
     }
 
-    /// Time in which the next answer must begin.
-    pub fn patience(&self) -> Duration {
-        Duration::from_millis(self.line.timeout_ms)
+    /// Time within which the next response must begin.
+    pub fn response_timeout(&self) -> Duration {
+        Duration::from_millis(self.calls.timeout_ms)
     }
 }
 
-impl Log {
-    /// A part that is believed to answer.
-    pub fn new(what: &'static str, clock: Clock) -> Self {
+impl AvailabilityLog {
+    /// State in which calls succeed.
+    pub fn new(subject: &'static str, clock: Clock) -> Self {
         Self {
             clock,
-            lost: None,
-            what,
+            failing_since: None,
+            subject,
         }
     }
 
-    /// Notes a call that failed.
-    pub fn bad(&mut self, error: &Error) {
-        if self.lost.is_some() {
-            info!("{} of the store still can not be read: {error}", self.what);
+    /// Records a failed call: a warning for the first one, an info line for the following ones.
+    pub fn record_failure(&mut self, error: &Error) {
+        if self.failing_since.is_some() {
+            info!(
+                "{} of the store still can not be read: {error}",
+                self.subject
+            );
             return;
         }
-        self.lost = Some(self.clock.now());
-        warn!("{} of the store can not be read: {error}", self.what);
+        self.failing_since = Some(self.clock.now());
+        warn!("{} of the store can not be read: {error}", self.subject);
     }
 
-    /// Notes an answer.
-    pub fn good(&mut self) {
-        if let Some(lost) = self.lost.take() {
-            let lost_ms = self.clock.now().since(lost);
-            info!(lost_ms; "{} of the store can be read again", self.what);
+    /// Records a successful call; logged if the one before failed.
+    pub fn record_success(&mut self) {
+        if let Some(failing_since) = self.failing_since.take() {
+            let lost_ms = self.clock.now().since(failing_since);
+            info!(lost_ms; "{} of the store can be read again", self.subject);
         }
     }
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,48 +1,49 @@
-//! Settings that are read again while an instance runs.
+//! Reloading of the settings file while an instance runs.
 
 use super::*;
 use std::time::SystemTime as FileTime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Time between two looks at whether the file has changed.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval between two checks whether the file has changed.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches a settings file.
-pub(crate) struct Reload {
-    changed: Option<FileTime>,
+/// Watches a settings file for changes.
+pub(crate) struct SettingsWatcher {
     hangup: Signal,
+    /// Modification time at the last read; `None` if it is not known.
+    modified: Option<FileTime>,
     path: PathBuf,
     settings: Settings,
 }
 
-impl Reload {
-    /// Watches the file that `settings` came from.
+impl SettingsWatcher {
+    /// Watches the file at `path`, from which `settings` were read.
     pub fn new(path: PathBuf, settings: Settings) -> Self {
         Self {
-            changed: changed(&path),
-            hangup: signal(SignalKind::hangup()).expect("signals can be waited for"),
+            modified: modified(&path),
+            hangup: signal(SignalKind::hangup()).expect("a SIGHUP handler can be installed"),
             path,
             settings,
         }
     }
 
-    /// Waits until the file holds other settings. A file with faults changes nothing.
+    /// Waits until the file contains other settings. An invalid file is logged and ignored.
     pub async fn next(&mut self) -> Settings {
         loop {
             let cause = tokio::select! {
                 _ = self.hangup.recv() => "signal",
-                () = sleep(LOOK) => "file",
+                () = sleep(POLL_INTERVAL) => "file",
             };
-            let now = changed(&self.path);
-            if cause == "file" && now == self.changed {
+            let now = modified(&self.path);
+            if cause == "file" && now == self.modified {
                 continue;
             }
-            self.changed = now;
+            self.modified = now;
             match arguments::read(&self.path) {
                 Ok(settings) => {
                     let same = settings == self.settings;
                     info!(cause, same; "settings read again");
-                    self.name_fixed(&settings);
+                    self.warn_if_fixed_changed(&settings);
                     if !same {
                         self.settings = settings.clone();
                         return settings;
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Names what takes a restart to change.
-    fn name_fixed(&self, settings: &Settings) {
+    /// Warns if settings were changed that take effect only after a restart.
+    fn warn_if_fixed_changed(&self, settings: &Settings) {
         let fixed = |settings: &Settings| {
             let addresses = settings
                 .hosted
@@ -62,13 +63,15 @@
             (settings.instance.clone(), settings.listen, addresses)
         };
         if fixed(settings) != fixed(&self.settings) {
-            warn!("the name and addresses of an instance change only at its start");
+            warn!(
+                "changes to the name and addresses of the instance take effect only after a restart"
+            );
         }
     }
 }
 
-/// When a file was changed; `None` if that can not be said.
-fn changed(path: &Path) -> Option<FileTime> {
+/// Modification time of a file; `None` if it can not be read.
+fn modified(path: &Path) -> Option<FileTime> {
     std::fs::metadata(path)
         .and_then(|data| data.modified())
         .ok()
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,55 +1,55 @@
-//! The platform's key-value service, by the JSON gateway of the etcd v3 interface.
+//! Client of the platform's key-value service, through the JSON gateway of the etcd v3 API.
 //!
-//! Numbers of 64 bits are texts there, keys and values base64.
+//! The gateway encodes 64-bit integers as strings, and keys and values in base64.
 
 use super::*;
 
-/// An entry of the key-value service.
+/// A key's value and its revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Entry {
     /// Revision of its last change.
     pub revision: u64,
-    /// Value.
+    /// Decoded value.
     pub value: Vec<u8>,
 }
 
 /// Outcome of a compare-and-swap.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum SwapOutcome {
-    /// The value is written, at this revision.
-    Written(u64),
-    /// The key had another revision; this is its entry now.
+    /// The key had another revision; its present entry, or `None` if the key does not exist.
     Conflict(Option<Entry>),
+    /// The value was written at this revision.
+    Written(u64),
 }
 
-/// What a watch sees.
+/// An event of a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum WatchEvent {
     /// The key changed.
     Changed(Entry),
-    /// The watch began: every change from now on is seen.
+    /// The watch was created: it reports every change from now on.
     Created,
 }
 
-/// A write of a compare-and-swap.
+/// A write that is executed only if the key has the expected revision.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Write<'a> {
-    /// Revision that the key must have; 0 for a key that must not exist.
+    /// Expected revision of the key; 0 if the key must not exist.
     pub expected: u64,
-    /// Key.
+    /// Key, not encoded.
     pub key: &'a str,
-    /// Lease that the entry ends with; 0 for none.
+    /// Lease with which the entry expires; 0 for none.
     pub lease: u64,
-    /// Value.
+    /// Value, not encoded.
     pub value: &'a [u8],
 }
 
-/// A client of the key-value service. Every error leaves open whether a write took effect.
+/// A client of the key-value service. After an error of a write it is unknown whether the write took effect.
 #[derive(Clone)]
 pub(crate) struct Store {
     address: SocketAddr,
+    call_timeout: Duration,
     http: Http,
-    patience: Duration,
 }
 
 #[derive(Deserialize)]
@@ -58,7 +58,7 @@
 }
 
 #[derive(Deserialize)]
-struct Pair {
+struct KeyValue {
     mod_revision: String,
     #[serde(default)]
     value: String,
@@ -67,7 +67,7 @@
 #[derive(Deserialize)]
 struct Range {
     #[serde(default)]
-    kvs: Vec<Pair>,
+    kvs: Vec<KeyValue>,
 }
 
 #[derive(Deserialize)]
@@ -85,7 +85,7 @@
 }
 
 #[derive(Deserialize)]
-struct Watched {
+struct WatchMessage {
     result: WatchResult,
 }
 
@@ -94,55 +94,57 @@
     #[serde(default)]
     created: bool,
     #[serde(default)]
-    events: Vec<WatchedEvent>,
+    events: Vec<EventBody>,
 }
 
 #[derive(Deserialize)]
-struct WatchedEvent {
-    kv: Pair,
+struct EventBody {
+    kv: KeyValue,
 }
 
 impl Range {
     fn entry(self) -> Result<Option<Entry>, Error> {
-        self.kvs.into_iter().next().map(Pair::entry).transpose()
+        self.kvs.into_iter().next().map(KeyValue::entry).transpose()
     }
 }
 
-impl Pair {
+impl KeyValue {
     fn entry(self) -> Result<Entry, Error> {
         let value = BASE64_STANDARD.decode(&self.value);
         Ok(Entry {
-            revision: number(&self.mod_revision)?,
+            revision: parse_u64(&self.mod_revision)?,
             value: value.map_err(|error| Error::Store(error.to_string()))?,
         })
     }
 }
 
 impl Store {
-    /// Reads a key.
+    /// Reads a key; `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
         let body = json!({ "key": BASE64_STANDARD.encode(key) });
         let range: Range = self.call("/v3/kv/range", &body).await?;
         range.entry()
     }
 
-    /// Makes sure that a lease exists; one that exists is left as it is.
+    /// Creates a lease if it does not exist; an existing one is not changed.
     pub async fn ensure_lease(&self, lease: u64, ttl_seconds: u64) -> Result<(), Error> {
         let body = json!({ "ID": lease.to_string(), "TTL": ttl_seconds.to_string() });
         let (status, answer) = self.exchange("/v3/lease/grant", &body).await?;
-        let exists = String::from_utf8_lossy(&answer).contains("lease already exists");
-        if status == StatusCode::OK || exists {
+        let already_exists = String::from_utf8_lossy(&answer).contains("lease already exists");
+        if status == StatusCode::OK || already_exists {
             return Ok(());
         }
-        Err(Error::Store(format!("lease {lease} was refused: {status}")))
+        Err(Error::Store(format!(
+            "granting lease {lease} failed: {status}"
+        )))
     }
 
-    /// A client of the service at `address`.
-    pub fn new(address: SocketAddr, patience: Duration, traffic: &Traffic) -> Self {
+    /// A client of the service at `address` with a time-out for each call.
+    pub fn new(address: SocketAddr, call_timeout: Duration, traffic: &Traffic) -> Self {
         Self {
             address,
+            call_timeout,
             http: Http::control(traffic),
-            patience,
         }
     }
 
@@ -165,7 +167,7 @@
         });
         let txn: Txn = self.call("/v3/kv/txn", &body).await?;
         if txn.succeeded {
-            return Ok(SwapOutcome::Written(number(&txn.header.revision)?));
+            return Ok(SwapOutcome::Written(parse_u64(&txn.header.revision)?));
         }
         let range = txn.responses.into_iter().next();
         let range = range.and_then(|response| response.response_range);
@@ -175,26 +177,30 @@
         }
     }
 
-    /// Waits for changes of a key and hands what it sees to `take`, until the connection ends.
-    pub async fn watch(&self, key: &str, mut take: impl FnMut(WatchEvent)) -> Result<(), Error> {
+    /// Watches a key and passes each event to `on_event`, until the connection ends.
+    pub async fn watch(
+        &self,
+        key: &str,
+        mut on_event: impl FnMut(WatchEvent),
+    ) -> Result<(), Error> {
         let body = json!({ "create_request": { "key": BASE64_STANDARD.encode(key) } });
         let request = http::post(self.address, "/v3/watch", &body);
-        let response = timeout(self.patience, self.http.send(request)).await;
+        let response = timeout(self.call_timeout, self.http.send(request)).await;
         let response = response
             .map_err(|_| Error::Store("no answer in time".into()))?
             .map_err(|error| Error::Store(error.to_string()))?;
         let mut body = response.into_body();
         let mut buffer = Vec::new();
-        while let Some(Ok(piece)) = body.frame().await {
-            buffer.extend_from_slice(piece.data_ref().map_or(&[][..], |data| data));
+        while let Some(Ok(chunk)) = body.frame().await {
+            buffer.extend_from_slice(chunk.data_ref().map_or(&[][..], |data| data));
             while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
                 let line: Vec<u8> = buffer.drain(..=end).collect();
-                let watched: Watched = parse(&line)?;
-                if watched.result.created {
-                    take(WatchEvent::Created);
+                let message: WatchMessage = parse_json(&line)?;
+                if message.result.created {
+                    on_event(WatchEvent::Created);
                 }
-                for event in watched.result.events {
-                    take(WatchEvent::Changed(event.kv.entry()?));
+                for event in message.result.events {
+                    on_event(WatchEvent::Changed(event.kv.entry()?));
                 }
             }
         }
@@ -210,23 +216,23 @@
         if status != StatusCode::OK {
             return Err(Error::Store(format!("{path}: {status}")));
         }
-        parse(&answer)
+        parse_json(&answer)
     }
 
     async fn exchange(&self, path: &str, body: &Value) -> Result<(StatusCode, Bytes), Error> {
         let request = http::post(self.address, path, body);
-        timeout(self.patience, self.http.exchange(request))
+        timeout(self.call_timeout, self.http.exchange(request))
             .await
             .map_err(|_| Error::Store("no answer in time".into()))?
             .map_err(|error| Error::Store(error.to_string()))
     }
 }
 
-fn number(text: &str) -> Result<u64, Error> {
+fn parse_u64(text: &str) -> Result<u64, Error> {
     text.parse()
-        .map_err(|_| Error::Store(format!("`{text}` is no number")))
+        .map_err(|_| Error::Store(format!("`{text}` is not a 64-bit integer")))
 }
 
-fn parse<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
+fn parse_json<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     serde_json::from_slice(bytes).map_err(|error| Error::Store(error.to_string()))
 }
--- a/crates/node/src/store_sync.rs
+++ b/crates/node/src/store_sync.rs
@@ -1,10 +1,10 @@
-//! The task that learns the configuration and the list of upstreams from the platform's store: it makes the calls
-//! that the core's informer wants, and hands on what these bring.
+//! The task that follows the configuration and the list of upstreams in the platform's store: it executes the calls
+//! that the core's informer requests and applies the informer's outputs.
 
 use super::*;
 use members::{LocalMember, Members};
 use platform::store::{Change, Item};
-use platform_store::{Client, Log};
+use platform_store::{AvailabilityLog, Client};
 use tokio::task::AbortHandle;
 use wellplank_core::{
     informer::Informer,
@@ -15,15 +15,15 @@
     staleness::StalenessBound,
 };
 
-/// The longest time between two looks at what is due, though nothing is.
-const LOOK: Duration = Duration::from_mins(1);
+/// Maximum time between two ticks of the informer, also while it needs none.
+const WAKE_INTERVAL_MAX: Duration = Duration::from_mins(1);
 
-/// Characters of what is wrong with an entry that a log line has, at most.
-const ODD_TEXT: usize = 200;
+/// Maximum number of characters of an error that a log line contains: the error may quote a malformed entry.
+const LOGGED_ERROR_MAX: usize = 200;
 
-/// What the task needs.
+/// Parameters of the task.
 pub(crate) struct StoreSync {
-    /// Time within which what the store says must be known.
+    /// Time within which a change in the store must be known here.
     pub bound: StalenessBound,
     /// Client of the store.
     pub client: Client,
@@ -31,112 +31,115 @@
     pub clock: Clock,
     /// The core task.
     pub driver: Driver,
-    /// What this instance knows.
-    pub known: watch::Sender<KnownState>,
-    /// Time in which a leaving upstream must get no more work, in milliseconds.
+    /// Sends announcements to the other instances.
+    pub gossip: mpsc::UnboundedSender<gossip::Told>,
+    /// Publishes what this instance knows of the store.
+    pub known_state: watch::Sender<KnownState>,
+    /// Time within which a leaving upstream must stop getting work, in milliseconds.
     pub leave_ms: u64,
-    /// Limits on what callers send.
+    /// Publishes the limits on callers' requests in the configuration in force.
     pub limits: watch::Sender<platform::configuration::Limits>,
     /// Other instances.
     pub members: watch::Receiver<Members>,
     /// This instance.
     pub own: LocalMember,
-    /// Where other instances are told.
-    pub told: mpsc::UnboundedSender<gossip::Told>,
 }
 
-/// What a call brought.
-enum Brought {
-    /// All that there is, up to a position.
-    All(Vec<Item>, Position),
-    /// Changes, up to a position.
+/// Result of a call that the store answered.
+enum CallResult {
+    /// All changes since the requested position, up to a position.
     Changes(Vec<Change>, Position),
-    /// The changes are forgotten.
-    Nothing,
+    /// The store has compacted the changes since the requested position.
+    Compacted,
+    /// All items, up to a position.
+    Items(Vec<Item>, Position),
 }
 
-/// The end of a call.
-struct Ended {
-    brought: Result<Brought, Error>,
+/// A call that has succeeded or failed.
+struct FinishedCall {
     call: Call,
+    result: Result<CallResult, Error>,
 }
 
-/// What the task keeps.
+/// State of the task.
 struct Task {
+    /// Pending calls by their identifiers.
     calls: HashMap<u64, AbortHandle>,
-    ends: mpsc::UnboundedSender<Ended>,
+    finished_calls: mpsc::UnboundedSender<FinishedCall>,
     informer: Informer,
-    learner: StoreSync,
-    /// The configuration that was read last: what callers may send, and its revision in the store.
+    /// Limits on callers' requests in the last configuration that was read, and its revision in the store.
     limits: (platform::configuration::Limits, u64),
-    logs: [Log; 2],
+    /// Logs of the configuration and the upstreams, in this order.
+    logs: [AvailabilityLog; 2],
+    params: StoreSync,
 }
 
 impl StoreSync {
-    /// What this instance does among the others.
+    /// The role and the rank of this instance among the others.
     fn role(&self, members: &Members) -> Input {
         Input::Role(self.own.role(members), self.own.watcher_rank(members))
     }
 
-    /// Serves for ever; `heard` is what other instances let this one know.
-    pub async fn run(self, mut heard: mpsc::UnboundedReceiver<PeerReport>) {
-        let (ends, mut ended) = mpsc::unbounded_channel();
-        let mut absence = self.client.absence();
+    /// Runs until the instance ends; `peer_reports` are the reports of other instances.
+    pub async fn run(self, mut peer_reports: mpsc::UnboundedReceiver<PeerReport>) {
+        let (finished_calls, mut results) = mpsc::unbounded_channel();
+        let mut availability = self.client.availability();
         let mut members = self.members.clone();
         let now = self.clock.now();
-        let informer = Informer::new(self.bound, self.leave_ms, *absence.borrow(), now);
+        let informer = Informer::new(self.bound, self.leave_ms, *availability.borrow(), now);
         let mut task = Task {
             calls: HashMap::new(),
-            ends,
+            finished_calls,
             informer,
             limits: Default::default(),
             logs: [Topic::Configuration, Topic::Upstreams]
-                .map(|topic| Log::new(what(topic), self.clock)),
-            learner: self,
+                .map(|topic| AvailabilityLog::new(topic_name(topic), self.clock)),
+            params: self,
         };
-        let input = task.learner.role(&members.borrow_and_update());
-        task.take(input, *absence.borrow());
+        let input = task.params.role(&members.borrow_and_update());
+        task.handle(input, *availability.borrow());
         loop {
-            let left = task.left();
+            let time_to_wake = task.time_to_wake();
             let input = tokio::select! {
-                Some(ended) = ended.recv() => task.end(ended),
-                Some(heard) = heard.recv() => task.hear(heard),
-                Ok(()) = members.changed() => task.learner.role(&members.borrow_and_update()),
-                Ok(()) = absence.changed() => Input::Tick,
-                () = sleep(left) => Input::Tick,
+                Some(finished) = results.recv() => task.finish(finished),
+                Some(report) = peer_reports.recv() => task.receive(report),
+                Ok(()) = members.changed() => task.params.role(&members.borrow_and_update()),
+                Ok(()) = availability.changed() => Input::Tick,
+                () = sleep(time_to_wake) => Input::Tick,
             };
-            let absence = *absence.borrow_and_update();
-            task.take(input, absence);
+            let availability = *availability.borrow_and_update();
+            task.handle(input, availability);
         }
     }
 }
 
 impl Task {
-    /// Time until something is due.
-    fn left(&self) -> Duration {
-        let now = self.learner.clock.now();
+    /// Time until the informer needs the next tick.
+    fn time_to_wake(&self) -> Duration {
+        let now = self.params.clock.now();
         let left = self.informer.next_wake().map(|wake| wake.since(now));
-        left.map_or(LOOK, Duration::from_millis).min(LOOK)
+        left.map_or(WAKE_INTERVAL_MAX, Duration::from_millis)
+            .min(WAKE_INTERVAL_MAX)
     }
 
-    /// What the informer takes in of what another instance let this one know.
-    fn hear(&self, heard: PeerReport) -> Input {
-        if heard.confirmed.is_some() {
-            self.learner.client.witness();
+    /// Input for the informer from another instance's report.
+    fn receive(&self, report: PeerReport) -> Input {
+        if report.confirmed.is_some() {
+            self.params.client.record_peer_success();
         }
-        Input::PeerReport(heard)
+        Input::PeerReport(report)
     }
 
-    /// Has the informer take in what happened, and does what it wants.
-    fn take(&mut self, input: Input, absence: Availability) {
-        let now = self.learner.clock.now();
-        let outputs = self.informer.handle(input, absence, now);
-        // First, since what is told of it to others goes with what is known.
+    /// Passes an input to the informer and applies its outputs.
+    fn handle(&mut self, input: Input, availability: Availability) {
+        let now = self.params.clock.now();
+        let outputs = self.informer.handle(input, availability, now);
+        // Published before the outputs are applied, since announcements to others contain the known state.
         let known = self.informer.known_state();
-        self.learner.known.send_if_modified(|before| {
-            let changed = *before != known;
+        self.params.known_state.send_if_modified(|before| {
+            let is_changed = *before != known;
             *before = known;
-            changed
+            is_changed
         });
         for output in outputs {
             self.perform(output, now);
@@ -145,39 +148,42 @@
 
     fn perform(&mut self, output: Output, now: Time) {
         match output {
-            Output::Call(call) => self.ask(call),
+            Output::Call(call) => self.start_call(call),
             Output::Configuration(config) => {
                 let (revision, routes) = (config.revision, config.routes.len());
                 let (limits, store_revision) = self.limits;
                 info!(revision, routes, store_revision; "configuration in force");
-                self.learner.driver.event(Event::Config(config));
-                self.learner.limits.send_replace(limits);
+                self.params.driver.event(Event::Config(config));
+                self.params.limits.send_replace(limits);
             }
-            // The task that tells ends only with the instance.
+            // A send fails only if the gossip task has ended, which it does only with the instance.
             Output::Confirm(confirmed) => {
-                drop(self.learner.told.send(gossip::Told::Confirmed(confirmed)));
+                drop(self.params.gossip.send(gossip::Told::Confirmed(confirmed)));
             }
-            Output::Cancel(call, why) => self.drop(call, why),
+            Output::Cancel(call, reason) => self.cancel(call, reason),
             Output::Era(era) => {
-                info!(era; "what is known of the store is read again: it came back from an older copy");
+                info!(era; "reading everything again: the store was restored from a backup");
             }
             Output::Outdated(topic) => {
-                self.learner.driver.count(Counter::StoreOutdated);
-                debug!("{} of an earlier era of the store is dropped", what(topic));
+                self.params.driver.count(Counter::StoreOutdated);
+                debug!(
+                    "dropped an answer about {} from an earlier era of the store",
+                    topic_name(topic)
+                );
             }
             Output::MissingEntry(upstream, believed_ms) => {
-                info!(believed_ms, upstream; "an entry that is missing may have lapsed");
+                info!(believed_ms, upstream; "a missing entry may have expired; its upstream is kept for a grace period");
             }
-            // The task that tells ends only with the instance.
-            Output::AnnounceRoster(word) => {
-                drop(self.learner.told.send(gossip::Told::Roster(word)));
+            // A send fails only if the gossip task has ended, which it does only with the instance.
+            Output::AnnounceRoster(update) => {
+                drop(self.params.gossip.send(gossip::Told::Roster(update)));
             }
             Output::AnnounceConfiguration => {
-                drop(self.learner.told.send(gossip::Told::Configuration));
+                drop(self.params.gossip.send(gossip::Told::Configuration));
             }
             Output::Upstreams(listed) => {
                 let listed = Some(listed);
-                self.learner.driver.event(Event::List {
+                self.params.driver.event(Event::List {
                     requested_at: now,
                     entries: listed,
                 });
@@ -185,97 +191,98 @@
         }
     }
 
-    fn ask(&mut self, call: Call) {
+    fn start_call(&mut self, call: Call) {
         if call.is_retry {
             let Call {
                 timeout_ms: patience_ms,
                 ..
             } = call;
             let since = call.since.map(|since| since.to_string());
-            info!(patience_ms, since; "asking the store again for {}", what(call.topic));
+            info!(patience_ms, since; "asking the store again for {}", topic_name(call.topic));
         }
-        let client = self.learner.client.clone();
-        let ends = self.ends.clone();
-        let asking = tokio::spawn(async move {
-            let brought = make(&client, call).await;
-            // The task that hears of it ends only with the instance.
-            let _ = ends.send(Ended { brought, call });
+        let client = self.params.client.clone();
+        let finished_calls = self.finished_calls.clone();
+        let task = tokio::spawn(async move {
+            let result = execute(&client, call).await;
+            // A send fails only if the receiving task has ended, which it does only with the instance.
+            let _ = finished_calls.send(FinishedCall { call, result });
         });
-        self.calls.insert(call.id, asking.abort_handle());
+        self.calls.insert(call.id, task.abort_handle());
     }
 
-    /// Ends a call that is out.
-    fn drop(&mut self, call: Call, why: CancelReason) {
-        if let Some(asking) = self.calls.remove(&call.id) {
-            asking.abort();
+    /// Cancels a pending call.
+    fn cancel(&mut self, call: Call, reason: CancelReason) {
+        if let Some(task) = self.calls.remove(&call.id) {
+            task.abort();
         }
-        let error = match why {
-            CancelReason::PeersAhead => Some("other instances know more"),
-            CancelReason::Stalled => Some("it answers other calls again"),
+        let error = match reason {
+            CancelReason::PeersAhead => Some("call cancelled: other instances know more"),
+            CancelReason::Stalled => Some("call cancelled: the store answers other calls again"),
             CancelReason::Unconfirmed => None,
             CancelReason::EntryExpired
             | CancelReason::StoreRestored
             | CancelReason::RoleChanged => return,
         };
-        self.learner.client.renew();
+        self.params.client.reconnect();
         if let Some(error) = error {
-            self.log(call.topic).bad(&Error::Store(error.into()));
+            self.log(call.topic)
+                .record_failure(&Error::Store(error.into()));
         } else {
             let since = call.since.map(|since| since.to_string());
-            info!(since; "nothing was shown of {} for long: asking on a new connection", what(call.topic));
+            info!(since; "no confirmation of {} for too long: asking on a new connection", topic_name(call.topic));
         }
     }
 
-    fn log(&mut self, topic: Topic) -> &mut Log {
+    fn log(&mut self, topic: Topic) -> &mut AvailabilityLog {
         match topic {
             Topic::Configuration => &mut self.logs[0],
             Topic::Upstreams => &mut self.logs[1],
         }
     }
 
-    /// What the end of a call means to the informer.
-    fn end(&mut self, ended: Ended) -> Input {
-        let Ended { brought, call } = ended;
+    /// Input for the informer from the result of a call.
+    fn finish(&mut self, finished: FinishedCall) -> Input {
+        let FinishedCall { call, result } = finished;
         if self.calls.remove(&call.id).is_none() {
-            // It ended while it was being dropped.
+            // It finished while it was being cancelled.
             return Input::Tick;
         }
-        let brought = match brought {
-            Ok(brought) => brought,
+        let result = match result {
+            Ok(result) => result,
             Err(error) => {
-                self.log(call.topic).bad(&error);
+                self.log(call.topic).record_failure(&error);
                 return Input::Failed(call.id);
             }
         };
-        self.log(call.topic).good();
-        let (changes, position) = match brought {
-            Brought::All(items, position) => {
+        self.log(call.topic).record_success();
+        let (changes, position) = match result {
+            CallResult::Items(items, position) => {
                 (items.into_iter().map(Change::Written).collect(), position)
             }
-            Brought::Changes(changes, position) => (changes, position),
-            Brought::Nothing => {
+            CallResult::Changes(changes, position) => (changes, position),
+            CallResult::Compacted => {
                 let since = call.since.map(|since| since.to_string());
-                info!(since; "the store has forgotten the changes of {}", what(call.topic));
+                info!(since; "the store has compacted the changes of {}", topic_name(call.topic));
                 return Input::Answered(call.id, Answer::Compacted);
             }
         };
         let content = match call.topic {
-            Topic::Configuration => self.configuration(changes),
+            Topic::Configuration => self.decode_configuration(changes),
             Topic::Upstreams => {
                 let changes = changes
                     .iter()
-                    .map(|change| self.change(change, position.era));
+                    .map(|change| self.decode_change(change, position.era));
                 Content::Upstreams(changes.collect())
             }
         };
         Input::Answered(call.id, Answer::Complete(content, position))
     }
 
-    /// A change of the list in an era as the core takes it.
-    fn change(&self, change: &Change, era: u64) -> roster::Change {
+    /// Decodes a change of the list that was read in an era of the store.
+    fn decode_change(&self, change: &Change, era: u64) -> roster::Change {
         let (entry, key, revision) = match change {
             Change::Removed { key, revision } => (Entry::Deleted, key, *revision),
-            Change::Written(item) => (self.entry(item, era), &item.key, item.revision),
+            Change::Written(item) => (self.decode_entry(item, era), &item.key, item.revision),
         };
         roster::Change {
             entry,
@@ -284,21 +291,21 @@
         }
     }
 
-    /// What an entry that was written in an era says.
-    fn entry(&self, item: &Item, era: u64) -> Entry {
+    /// Decodes an entry that was read in an era of the store.
+    fn decode_entry(&self, item: &Item, era: u64) -> Entry {
         match platform::upstream::decode(item, era) {
             Ok(listed) => Entry::Listed(listed),
             Err(error) => {
                 let reason = error.reason();
-                warn!(reason; "an entry names no upstream to use: {}", shortened(&error));
-                self.learner.driver.count(Counter::EntryInvalid(reason));
+                warn!(reason; "ignored a malformed upstream entry: {}", truncated(&error));
+                self.params.driver.count(Counter::EntryInvalid(reason));
                 Entry::Invalid
             }
         }
     }
 
-    /// The newest configuration in what was seen.
-    fn configuration(&mut self, changes: Vec<Change>) -> Content {
+    /// Decodes the newest configuration among changes.
+    fn decode_configuration(&mut self, changes: Vec<Change>) -> Content {
         let newest = changes.into_iter().rev().find_map(|change| match change {
             Change::Written(item) if item.key == platform::configuration::KEY => Some(item),
             Change::Removed { .. } | Change::Written(_) => None,
@@ -317,7 +324,7 @@
                 Some(Arc::new(decoded.config))
             }
             Err(error) => {
-                error!("the configuration in force stays: {error}");
+                error!("invalid configuration; the one in force stays: {error}");
                 None
             }
         };
@@ -325,33 +332,37 @@
     }
 }
 
-/// Makes a call.
-async fn make(client: &Client, call: Call) -> Result<Brought, Error> {
+/// Executes a call.
+async fn execute(client: &Client, call: Call) -> Result<CallResult, Error> {
     let prefix = match call.topic {
         Topic::Configuration => platform::configuration::KEY,
         Topic::Upstreams => platform::upstream::PREFIX,
     };
-    let patience = Duration::from_millis(call.timeout_ms);
+    let response_timeout = Duration::from_millis(call.timeout_ms);
     let Some(since) = call.since else {
-        let (items, position) = client.items(prefix, patience, call.consistency).await?;
-        return Ok(Brought::All(items, position));
+        let (items, position) = client
+            .read_prefix(prefix, response_timeout, call.consistency)
+            .await?;
+        return Ok(CallResult::Items(items, position));
     };
     let wait = Duration::from_millis(call.wait_ms);
-    let seen = client
-        .changes(prefix, since.revision, wait, patience)
+    let response = client
+        .watch_prefix(prefix, since.revision, wait, response_timeout)
         .await?;
-    Ok(seen.map_or(Brought::Nothing, |(seen, position)| {
-        Brought::Changes(seen.changes, position)
-    }))
+    Ok(
+        response.map_or(CallResult::Compacted, |(response, position)| {
+            CallResult::Changes(response.changes, position)
+        }),
+    )
 }
 
-/// The text of an error, which may quote what another writer wrote.
-fn shortened(error: &platform::Error) -> String {
-    error.to_string().chars().take(ODD_TEXT).collect()
+/// The first characters of an error, which may quote an entry of any length.
+fn truncated(error: &platform::Error) -> String {
+    error.to_string().chars().take(LOGGED_ERROR_MAX).collect()
 }
 
-/// A topic as logs name it.
-fn what(topic: Topic) -> &'static str {
+/// Name of a topic in log lines.
+fn topic_name(topic: Topic) -> &'static str {
     match topic {
         Topic::Configuration => "configuration",
         Topic::Upstreams => "upstreams",
--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -1,374 +1,385 @@
-//! What instances keep in the platform's store: their entries, and the streams that they relay, so that
-//! these are known after all instances were lost at once.
+//! Writes this instance's entry, relayed streams and quarantined requests to the platform's store, so that they are
+//! known even after all instances were lost at once.
 
 use super::*;
 use members::{LocalMember, Member, Members};
 use rand::RngExt;
 use wellplank_core::{fingerprint::RequestFingerprint, quarantine::CrashHistory};
 
-/// Start of the keys under which streams are kept.
-const STREAMS: &str = "wellplank/streams/";
+/// Key prefix of the stored streams.
+const STREAMS_PREFIX: &str = "wellplank/streams/";
 
-/// Time that an instance's entries outlive it: longer than a restart takes.
-const LEASE: Duration = Duration::from_secs(20);
+/// Time to live of the lease, for which entries outlive their instance: longer than a restart takes.
+const LEASE_TTL: Duration = Duration::from_secs(20);
 
-/// Time between two renewals of the lease; for as long and more they may fail.
-const RENEW: Duration = Duration::from_secs(8);
+/// Interval between two renewals of the lease: they may fail for as long again and more before it expires.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Time between two looks at whether the streams are to be written; each write is paid for.
-const KEEP: Duration = Duration::from_millis(700);
+/// Interval between two checks for changed streams; each write costs a paid call.
+const WRITE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Time between two tries to renew a lease, while it runs for long enough yet: refused calls are paid for in
-/// full, and a store that is away refuses those of all instances.
-const RENEW_AGAIN: Duration = Duration::from_secs(3);
+/// Interval between two attempts to renew a lease that is not about to expire: refused calls are paid for in full, and
+/// an unavailable store refuses those of all instances.
+const RENEWAL_RETRY_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time from a renewal after which a lease is renewed as often as it is looked at, until it succeeds.
-const RENEW_BY: Duration = Duration::from_secs(14);
+/// Age of a lease after which every check attempts to renew it, until one succeeds.
+const RENEWAL_URGENT_AFTER: Duration = Duration::from_secs(14);
 
-/// Time that a call may take.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time-out of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time over which instances spread the writing of all again, behind a return of the store from an older copy: its leases are
-/// gone with its items, 300 instances would else write three items each in the same moment, of some hundred a second that
-/// the store takes. Others believe their entries for longer.
-const AGAIN: Duration = Duration::from_millis(1_500);
+/// Time over which instances spread the rewriting of their items after the store was restored from a backup, which loses
+/// items and leases. Otherwise 300 instances would write three items each at once, while the store takes about a hundred
+/// a second. Other instances assume that missing entries exist for longer than this.
+const REWRITE_SPREAD: Duration = Duration::from_millis(1_500);
 
-/// In place of a lease: the item stays until it is removed.
+/// Lease identifier of an item that stays until it is removed.
 const NO_LEASE: u64 = 0;
 
-/// Start of the keys under which requests are kept that end their upstreams.
-const QUARANTINE: &str = "wellplank/quarantine/";
+/// Key prefix of the stored requests that are quarantined because they crash their upstreams.
+const QUARANTINE_PREFIX: &str = "wellplank/quarantine/";
 
-/// Streams known, at most: as kept they take half of what a value may hold. Beyond it the older half goes.
-const KEPT: usize = 4_000;
+/// Maximum number of streams: encoded, they take half of the maximum size of a value. Beyond it the older half is
+/// evicted.
+const STREAMS_MAX: usize = 4_000;
 
-/// Time for which a stream is kept that is not told of again: longer than a caller waits.
-const KEPT_FOR: Duration = Duration::from_secs(30);
+/// Time for which a stream is stored without another report: longer than a caller waits.
+const STREAM_TTL: Duration = Duration::from_secs(30);
 
-/// Streams that instances relay, by the identity of their prompt, and when each was told of.
+/// Streams that instances relay, by the hash of their prompt, with the time of the last report.
 #[derive(Clone, Debug, Default)]
 pub struct Streams(BTreeMap<u64, (Instant, peers::Sighting)>);
 
 impl Streams {
-    /// The streams as they are kept, without those that were told of too long ago.
+    /// Encodes the streams for the store, without those whose last report is too old.
     fn encode(&self) -> Vec<u8> {
-        let fresh = self.0.values().filter(|(at, _)| at.elapsed() < KEPT_FOR);
-        let sightings = fresh.map(|(_, sighting)| sighting.clone()).collect();
+        let recent = self.0.values().filter(|(at, _)| at.elapsed() < STREAM_TTL);
+        let sightings = recent.map(|(_, sighting)| sighting.clone()).collect();
         peers::Sightings { sightings }.encode_to_vec()
     }
 
-    /// Forgets the older half, among them those whose end was lost on its way.
-    fn forget_older(&mut self) {
+    /// Removes the older half, including streams whose end was reported in a lost datagram.
+    fn evict_older_half(&mut self) {
         let mut times: Vec<Instant> = self.0.values().map(|(at, _)| *at).collect();
         let middle = times.len() / 2;
         let (_, middle, _) = times.select_nth_unstable(middle);
         self.0.retain(|_, (at, _)| *at > *middle);
     }
 
-    /// Whether no stream is known.
+    /// Whether there are no streams.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Streams known.
+    /// Number of streams.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Takes in what an instance told of a stream.
+    /// Applies an instance's report of a stream.
     pub fn apply(&mut self, sighting: &peers::Sighting) {
         match sighting.stage() {
             peers::Stage::Ended | peers::Stage::Left => {
                 self.0.remove(&sighting.prompt);
             }
             peers::Stage::Started | peers::Stage::Streaming => {
-                if self.0.len() >= KEPT {
-                    self.forget_older();
+                if self.0.len() >= STREAMS_MAX {
+                    self.evict_older_half();
                 }
-                let told = (Instant::now(), sighting.clone());
-                self.0.insert(sighting.prompt, told);
+                let record = (Instant::now(), sighting.clone());
+                self.0.insert(sighting.prompt, record);
             }
-            // What has not been sent leaves nothing to go on from.
+            // A request that has not been sent to an upstream has nothing to resume from.
             peers::Stage::Waiting => {}
         }
     }
 }
 
-/// What is kept of a request that ends its upstreams; it outlives all instances.
+/// Change to the stored quarantine of a request; it outlives all instances.
 #[derive(Clone, Debug)]
 pub(crate) enum QuarantineUpdate {
-    /// The ends that it is guilty by.
-    Quarantined(RequestFingerprint, CrashHistory),
-    /// It is guilty no longer.
+    /// The request is no longer quarantined.
     Cleared(RequestFingerprint),
+    /// The request is quarantined because of these crashes.
+    Quarantined(RequestFingerprint, CrashHistory),
 }
 
 impl QuarantineUpdate {
-    fn print(&self) -> RequestFingerprint {
+    fn fingerprint(&self) -> RequestFingerprint {
         match self {
-            Self::Quarantined(print, _) | Self::Cleared(print) => *print,
+            Self::Cleared(fingerprint) | Self::Quarantined(fingerprint, _) => *fingerprint,
         }
     }
 
     fn call(&self) -> platform::store::Call {
-        let key = format!("{QUARANTINE}{}", self.print());
+        let key = format!("{QUARANTINE_PREFIX}{}", self.fingerprint());
         match self {
-            Self::Quarantined(_, account) => {
-                let ends = account::encode(account);
+            Self::Cleared(_) => platform::store::remove(&key),
+            Self::Quarantined(_, history) => {
+                let ends = account::encode(history);
                 let value = peers::Ends { ends }.encode_to_vec();
                 platform::store::put(&key, &value, NO_LEASE)
             }
-            Self::Cleared(_) => platform::store::remove(&key),
         }
     }
 }
 
-/// What the task needs.
+/// Parameters and state of the task.
 pub(crate) struct StoreWriter {
     /// Client of the store.
     pub client: platform_store::Client,
     /// The core task.
     pub driver: Driver,
-    /// Where this instance's datagrams come.
+    /// Address on which this instance receives datagrams.
     pub listen: SocketAddr,
     /// Other instances.
     pub members: watch::Receiver<Members>,
     /// This instance.
     pub own: LocalMember,
-    /// Requests to be refused also after all instances were lost.
+    /// Changes to the quarantine that are to be stored.
     pub quarantine_updates: mpsc::UnboundedReceiver<QuarantineUpdate>,
-    /// Requests that this instance wrote since they end their upstreams: a store that comes back from an older copy may lack
-    /// them.
+    /// Quarantined requests that this instance has written, to be written again after the store was restored from a
+    /// backup, which may lack them.
     pub quarantined: BTreeMap<RequestFingerprint, QuarantineUpdate>,
-    /// Streams that instances told of, this one's with them.
+    /// Streams of all instances including this one.
     pub streams: watch::Receiver<Streams>,
 }
 
 impl StoreWriter {
-    /// Enters this instance in the store and keeps streams there, for ever. What was kept before its start
-    /// is read first.
+    /// Reads the quarantine and the streams that were stored before the start, then registers this instance and writes
+    /// changes until the instance ends.
     pub async fn run(mut self) {
-        self.recall_ends().await;
-        self.recall().await;
+        self.restore_quarantine().await;
+        self.restore_streams().await;
         let mut lease = Lease {
             client: self.client.clone(),
-            granted: None,
+            grant: None,
         };
         let member = Member {
             address: self.listen,
             data_centre: self.own.data_centre.clone(),
         };
         let entry = member.encode();
-        let key = format!("{}{}", members::PREFIX, self.own.name);
-        let kept = format!("{STREAMS}{}", self.own.name);
-        let mut ticks = interval(KEEP);
+        let entry_key = format!("{}{}", members::PREFIX, self.own.name);
+        let streams_key = format!("{STREAMS_PREFIX}{}", self.own.name);
+        let mut ticks = interval(WRITE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut unwritten = BTreeMap::new();
-        let mut era = self.client.absence().borrow().era();
-        // When all is written again, behind a return of the store from an older copy.
-        let mut again = None;
+        let mut era = self.client.availability().borrow().era();
+        // When everything is to be written once more, after the store was restored from a backup.
+        let mut rewrite_at = None;
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
-                Some(kept) = self.quarantine_updates.recv() => {
-                    unwritten.insert(kept.print(), kept);
+                Some(update) = self.quarantine_updates.recv() => {
+                    unwritten.insert(update.fingerprint(), update);
                 }
             }
-            let newest = self.client.absence().borrow().era();
-            if newest > era {
-                era = newest;
-                let spread = rand::rng().random_range(Duration::ZERO..AGAIN);
-                again = Some(Instant::now() + spread);
+            let current_era = self.client.availability().borrow().era();
+            if current_era > era {
+                era = current_era;
+                let delay = rand::rng().random_range(Duration::ZERO..REWRITE_SPREAD);
+                rewrite_at = Some(Instant::now() + delay);
             }
-            if again.is_some_and(|again| again <= Instant::now()) {
-                again = None;
-                lease.granted = None;
+            if rewrite_at.is_some_and(|rewrite_at| rewrite_at <= Instant::now()) {
+                rewrite_at = None;
+                lease.grant = None;
                 self.streams.mark_changed();
                 unwritten.extend(self.quarantined.clone());
             }
-            self.write(&mut unwritten).await;
-            if let Err(error) = lease.hold(&key, &entry).await {
-                debug!("entering this instance: {error}");
+            self.write_quarantine(&mut unwritten).await;
+            if let Err(error) = lease.ensure(&entry_key, &entry).await {
+                debug!("registering this instance failed: {error}");
                 continue;
             }
-            let keeps = self.own.persists_streams(&self.members.borrow());
-            if keeps && self.streams.has_changed().unwrap_or(false) {
+            let persists_streams = self.own.persists_streams(&self.members.borrow());
+            if persists_streams && self.streams.has_changed().unwrap_or(false) {
                 let streams = self.streams.borrow_and_update().encode();
-                if let Err(error) = lease.put(&kept, &streams).await {
-                    debug!("keeping streams: {error}");
+                if let Err(error) = lease.put(&streams_key, &streams).await {
+                    debug!("writing streams failed: {error}");
                 }
             }
         }
     }
 
-    /// Writes what is to be kept of requests that end their upstreams; what can not be written now is tried again.
-    async fn write(&mut self, unwritten: &mut BTreeMap<RequestFingerprint, QuarantineUpdate>) {
-        while let Some((print, kept)) = unwritten.pop_first() {
-            let written = match self.client.call(kept.call(), PATIENCE).await {
+    /// Writes changes to the quarantine, up to the first that fails; the rest stays in `unwritten` for the next attempt.
+    async fn write_quarantine(
+        &mut self,
+        unwritten: &mut BTreeMap<RequestFingerprint, QuarantineUpdate>,
+    ) {
+        while let Some((fingerprint, update)) = unwritten.pop_first() {
+            let error = match self.client.call(update.call(), CALL_TIMEOUT).await {
                 Ok(answer) if answer.status == StatusCode::OK => {
-                    self.note_kept(print, kept);
+                    self.record_written(fingerprint, update);
                     continue;
                 }
                 Ok(answer) => answer.status.to_string(),
                 Err(error) => error.to_string(),
             };
-            debug!("keeping {print}: {written}");
-            unwritten.insert(print, kept);
+            debug!("writing the quarantine of {fingerprint} failed: {error}");
+            unwritten.insert(fingerprint, update);
             return;
         }
     }
 
-    /// Remembers what is written, to write it again.
-    fn note_kept(&mut self, print: RequestFingerprint, kept: QuarantineUpdate) {
-        match kept {
-            QuarantineUpdate::Quarantined(..) => self.quarantined.insert(print, kept),
-            QuarantineUpdate::Cleared(_) => self.quarantined.remove(&print),
+    /// Records a written change, so that it can be written again after the store was restored from a backup.
+    fn record_written(&mut self, fingerprint: RequestFingerprint, update: QuarantineUpdate) {
+        match update {
+            QuarantineUpdate::Cleared(_) => self.quarantined.remove(&fingerprint),
+            QuarantineUpdate::Quarantined(..) => self.quarantined.insert(fingerprint, update),
         };
     }
 
-    /// Reads the requests that were kept since they end their upstreams. Read before the streams, so that none of them goes on.
-    async fn recall_ends(&self) {
-        let mut link = platform_store::Link::new("quarantine", &self.client);
+    /// Reads the stored quarantine: before the streams, so that no stream of a quarantined request is resumed.
+    async fn restore_quarantine(&self) {
+        let mut retry_state = platform_store::RetryState::new("quarantine", &self.client);
         let items = loop {
-            let age = wellplank_core::informer_io::Consistency::Serializable;
-            let read = self.client.items(QUARANTINE, link.patience(), age);
+            let consistency = wellplank_core::informer_io::Consistency::Serializable;
+            let read = self.client.read_prefix(
+                QUARANTINE_PREFIX,
+                retry_state.response_timeout(),
+                consistency,
+            );
             match read.await {
                 Ok((items, _)) => break items,
-                Err(error) => link.bad(&error).await,
+                Err(error) => retry_state.back_off(&error).await,
             }
         };
         for item in items {
             let read = item.bytes().map(peers::Ends::decode);
             match read {
-                Ok(Ok(kept)) => {
-                    let account = account::decode(kept.ends);
-                    self.driver.event(Event::CrashReported(account.into()));
+                Ok(Ok(stored)) => {
+                    let history = account::decode(stored.ends);
+                    self.driver.event(Event::CrashReported(history.into()));
                 }
-                Ok(Err(error)) => warn!("{} can not be read: {error}", item.key),
-                Err(error) => warn!("{} can not be read: {error}", item.key),
+                Ok(Err(error)) => warn!("malformed quarantine entry {}: {error}", item.key),
+                Err(error) => warn!("malformed quarantine entry {}: {error}", item.key),
             }
         }
     }
 
-    /// Reads the streams that were kept before this instance started; a store that is away is waited for,
-    /// since nothing can be written to it either. Callers who come back noticed the loss of their instances
-    /// only after seconds, so the read may be as old.
-    async fn recall(&self) {
-        let mut link = platform_store::Link::new("streams", &self.client);
+    /// Reads the streams that were stored before this instance started. Waits for an unavailable store, since nothing can
+    /// be written to it either. A read that is seconds old is sufficient: callers that reconnect take seconds to notice
+    /// the loss of their instances.
+    async fn restore_streams(&self) {
+        let mut retry_state = platform_store::RetryState::new("streams", &self.client);
         let items = loop {
-            let read = self.client.items(
-                STREAMS,
-                link.patience(),
+            let read = self.client.read_prefix(
+                STREAMS_PREFIX,
+                retry_state.response_timeout(),
                 wellplank_core::informer_io::Consistency::Serializable,
             );
             match read.await {
                 Ok((items, _)) => break items,
-                Err(error) => link.bad(&error).await,
+                Err(error) => retry_state.back_off(&error).await,
             }
         };
         for item in items {
             let value = match item.bytes() {
                 Ok(value) => value,
                 Err(error) => {
-                    warn!("streams that were kept can not be read: {error}");
+                    warn!("malformed streams in the store: {error}");
                     continue;
                 }
             };
             match peers::Sightings::decode(value) {
-                Ok(kept) => gossip::sight(kept.sightings, &self.driver),
-                Err(error) => warn!("{} can not be read: {error}", item.key),
+                Ok(stored) => gossip::sight(stored.sightings, &self.driver),
+                Err(error) => warn!("malformed streams in {}: {error}", item.key),
             }
         }
         self.driver.event(Event::StreamsRestored);
     }
 }
 
-/// The lease that this instance's entries end with.
+/// The lease with which this instance's entries expire.
 struct Lease {
     client: platform_store::Client,
-    granted: Option<Granted>,
+    /// The current grant; `None` before the first one and after it has expired.
+    grant: Option<LeaseGrant>,
 }
 
 #[derive(Clone, Copy)]
-struct Granted {
+struct LeaseGrant {
+    /// When the last renewal was attempted.
+    attempted_at: Instant,
     id: u64,
-    renewed: Instant,
-    /// When it was tried last to renew it.
-    tried: Instant,
+    /// When the last successful renewal was requested.
+    renewed_at: Instant,
 }
 
-impl Granted {
-    /// A lease that was granted or renewed.
+impl LeaseGrant {
+    /// A lease whose grant or renewal was requested at a time.
     fn new(id: u64, at: Instant) -> Self {
         Self {
+            attempted_at: at,
             id,
-            renewed: at,
-            tried: at,
+            renewed_at: at,
         }
     }
 
-    /// Whether it is not to be renewed yet.
-    fn holds(self) -> bool {
-        let age = self.renewed.elapsed();
-        age < RENEW || (age < RENEW_BY && self.tried.elapsed() < RENEW_AGAIN)
+    /// Whether no renewal is due yet.
+    fn is_fresh(self) -> bool {
+        let age = self.renewed_at.elapsed();
+        age < RENEWAL_INTERVAL
+            || (age < RENEWAL_URGENT_AFTER && self.attempted_at.elapsed() < RENEWAL_RETRY_INTERVAL)
     }
 }
 
 impl Lease {
-    /// Makes sure that the lease runs and this instance is entered.
-    async fn hold(&mut self, key: &str, entry: &str) -> Result<(), Error> {
-        match self.granted {
-            Some(granted) if granted.holds() => Ok(()),
-            Some(granted) => self.renew(granted).await,
+    /// Renews the lease if due; without one, requests it and registers this instance.
+    async fn ensure(&mut self, key: &str, entry: &str) -> Result<(), Error> {
+        match self.grant {
+            Some(grant) if grant.is_fresh() => Ok(()),
+            Some(grant) => self.renew(grant).await,
             None => {
-                let asked = Instant::now();
-                let call = platform::store::grant_lease(LEASE);
-                let platform_store::Answer { body, status, .. } =
-                    self.client.call(call, PATIENCE).await?;
+                let requested_at = Instant::now();
+                let call = platform::store::grant_lease(LEASE_TTL);
+                let platform_store::Response { body, status, .. } =
+                    self.client.call(call, CALL_TIMEOUT).await?;
                 if status != StatusCode::OK {
-                    return Err(Error::Store(format!("lease: {status}")));
+                    return Err(Error::Store(format!("granting a lease failed: {status}")));
                 }
                 let id = platform::store::decode_lease(&body)
                     .map_err(|error| Error::Store(error.to_string()))?;
-                self.granted = Some(Granted::new(id, asked));
+                self.grant = Some(LeaseGrant::new(id, requested_at));
                 self.put(key, entry.as_bytes()).await
             }
         }
     }
 
     async fn put(&mut self, key: &str, value: &[u8]) -> Result<(), Error> {
-        let id = self.granted.map_or(0, |granted| granted.id);
+        let id = self.grant.map_or(0, |grant| grant.id);
         let call = platform::store::put(key, value, id);
-        let status = self.client.call(call, PATIENCE).await?.status;
+        let status = self.client.call(call, CALL_TIMEOUT).await?.status;
         match status {
             StatusCode::OK => Ok(()),
             StatusCode::NOT_FOUND => {
-                // The lease has ended; the next look asks for a new one.
-                self.granted = None;
-                Err(Error::Store(format!("{key}: the lease has ended")))
+                // The next check requests a new lease.
+                self.grant = None;
+                Err(Error::Store(format!("{key}: the lease has expired")))
             }
             status => Err(Error::Store(format!("{key}: {status}"))),
         }
     }
 
-    async fn renew(&mut self, granted: Granted) -> Result<(), Error> {
-        let asked = Instant::now();
-        let call = platform::store::renew_lease(granted.id);
-        self.granted = Some(Granted {
-            tried: asked,
-            ..granted
+    async fn renew(&mut self, grant: LeaseGrant) -> Result<(), Error> {
+        let requested_at = Instant::now();
+        let call = platform::store::renew_lease(grant.id);
+        self.grant = Some(LeaseGrant {
+            attempted_at: requested_at,
+            ..grant
         });
-        let status = self.client.call(call, PATIENCE).await?.status;
+        let status = self.client.call(call, CALL_TIMEOUT).await?.status;
         match status {
             StatusCode::OK => {
-                self.granted = Some(Granted::new(granted.id, asked));
+                self.grant = Some(LeaseGrant::new(grant.id, requested_at));
                 Ok(())
             }
             StatusCode::NOT_FOUND => {
-                self.granted = None;
-                Err(Error::Store("the lease has ended".into()))
+                self.grant = None;
+                Err(Error::Store("the lease has expired".into()))
             }
-            status => Err(Error::Store(format!("renewing: {status}"))),
+            status => Err(Error::Store(format!("renewing the lease failed: {status}"))),
         }
     }
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,4 +1,4 @@
-//! What instances do for each other in fleets of several sizes.
+//! Roles of instances in fleets of several sizes.
 
 use {
     googletest::prelude::*,
@@ -6,15 +6,15 @@
     wellplank_node::members::{LocalMember, Member, Members},
 };
 
-/// Data centres of the fleets.
+/// Number of data centres of each fleet.
 const DATA_CENTRES: usize = 3;
 
-/// A fleet of some instances.
-struct Test {
+/// A fleet whose instances are distributed over the data centres in turn.
+struct Fleet {
     names: Vec<String>,
 }
 
-impl Test {
+impl Fleet {
     fn new(instances: usize) -> Self {
         let name = |index| format!("instance-{index}");
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The others, as an instance knows them.
+    /// The other instances, as instance `own` knows them.
     fn members(&self, own: usize) -> Members {
         let member = |index: usize| Member {
             address: ([127, 0, 0, 1], index as u16 + 1).into(),
@@ -55,29 +55,30 @@
 }
 
 #[gtest]
-fn in_a_small_fleet_each_watches_for_itself() {
-    let test = Test::new(7);
-    expect_that!(test.count(Role::Independent), eq(7));
+fn every_instance_of_a_small_fleet_watches_for_itself() {
+    let fleet = Fleet::new(7);
+    expect_that!(fleet.count(Role::Independent), eq(7));
 }
 
 #[gtest]
-fn in_a_large_fleet_one_of_each_data_centre_watches_and_one_stands_by() {
-    let test = Test::new(60);
-    expect_that!(test.count(Role::Watcher), eq(DATA_CENTRES));
-    expect_that!(test.count(Role::Standby), eq(DATA_CENTRES));
-    expect_that!(test.count(Role::Follower), eq(60 - 2 * DATA_CENTRES));
+fn large_fleet_has_one_watcher_and_one_standby_in_each_data_centre() {
+    let fleet = Fleet::new(60);
+    expect_that!(fleet.count(Role::Watcher), eq(DATA_CENTRES));
+    expect_that!(fleet.count(Role::Standby), eq(DATA_CENTRES));
+    expect_that!(fleet.count(Role::Follower), eq(60 - 2 * DATA_CENTRES));
 }
 
 #[gtest]
-fn instance_that_knows_nobody_is_on_its_own() {
-    let test = Test::new(60);
-    expect_that!(test.own(3).role(&Members::new()), eq(Role::Independent));
-    expect_that!(test.own(3).persists_streams(&Members::new()), eq(true));
+fn instance_without_known_members_is_independent() {
+    let fleet = Fleet::new(60);
+    expect_that!(fleet.own(3).role(&Members::new()), eq(Role::Independent));
+    expect_that!(fleet.own(3).persists_streams(&Members::new()), eq(true));
 }
 
 #[gtest]
-fn two_instances_keep_the_streams_of_all() {
-    let test = Test::new(60);
-    let keeps = |index: &usize| test.own(*index).persists_streams(&test.members(*index));
-    expect_that!((0..60).filter(keeps).count(), eq(2));
+fn two_instances_write_the_streams_of_all() {
+    let fleet = Fleet::new(60);
+    let persists_streams =
+        |index: &usize| fleet.own(*index).persists_streams(&fleet.members(*index));
+    expect_that!((0..60).filter(persists_streams).count(), eq(2));
 }
--- a/crates/node/tests/store_writer.rs
+++ b/crates/node/tests/store_writer.rs
@@ -1,4 +1,4 @@
-//! Streams that instances told each other of, as they are kept.
+//! The table of reported streams, which is written to the store.
 
 use {
     googletest::prelude::*,
@@ -6,8 +6,8 @@
     wellplank_wire::peer::{Sighting, Stage},
 };
 
-/// What an instance tells of the stream of a prompt.
-fn told(prompt: u64, stage: Stage) -> Sighting {
+/// An instance's report of the stream of a prompt.
+fn sighting(prompt: u64, stage: Stage) -> Sighting {
     Sighting {
         pool: String::new(),
         prompt,
@@ -17,20 +17,20 @@
 }
 
 #[gtest]
-fn stream_is_known_until_it_ends() {
+fn stream_is_removed_when_it_ends() {
     let mut streams = Streams::default();
-    streams.apply(&told(1, Stage::Started));
-    streams.apply(&told(2, Stage::Started));
-    streams.apply(&told(1, Stage::Ended));
-    streams.apply(&told(2, Stage::Left));
+    streams.apply(&sighting(1, Stage::Started));
+    streams.apply(&sighting(2, Stage::Started));
+    streams.apply(&sighting(1, Stage::Ended));
+    streams.apply(&sighting(2, Stage::Left));
     expect_that!(streams.is_empty(), eq(true));
 }
 
 #[gtest]
-fn streams_whose_end_was_never_told_do_not_gather() {
+fn streams_without_a_reported_end_do_not_accumulate() {
     let mut streams = Streams::default();
     for prompt in 1..=20_000 {
-        streams.apply(&told(prompt, Stage::Started));
+        streams.apply(&sighting(prompt, Stage::Started));
     }
     expect_that!(streams.len(), le(4_000));
 }
