--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -30,7 +30,7 @@
 
 /// Time over which instances spread the rewriting of their items after the store was restored from a backup, which loses
 /// items and leases. Otherwise 300 instances would write three items each at once, while the store takes about a hundred
-/// a second. Other instances assume that missing entries exist for longer than this.
+/// a second. Other instances tolerate missing entries for longer than this.
 const REWRITE_SPREAD: Duration = Duration::from_millis(1_500);
 
 /// Lease identifier of an item that stays until it is removed.
