--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -21,7 +21,7 @@
 
 /// Readiness check of the platform.
 struct ReadinessEndpoint {
-    known: watch::Receiver<KnownState>,
+    known_state: watch::Receiver<KnownState>,
     stopping: relay::Stopping,
 }
 
@@ -39,7 +39,7 @@
 #[salvo::handler]
 impl ReadinessEndpoint {
     fn handle(&self, response: &mut salvo::Response) {
-        let is_configured = self.known.borrow().configuration.is_some();
+        let is_configured = self.known_state.borrow().configuration.is_some();
         let ready = is_configured && self.stopping.borrow().is_none();
         caller::write_ready(response, ready);
     }
@@ -48,7 +48,7 @@
 /// A running instance on the users' platform.
 pub struct Instance {
     driver: Driver,
-    grace: Duration,
+    grace_period: Duration,
     stop: watch::Sender<Option<relay::Stop>>,
 }
 
@@ -104,7 +104,7 @@
         let (driver, _) = Driver::start(&settings, clock, outputs);
 
         let ready = ReadinessEndpoint {
-            known: known_state.clone(),
+            known_state: known_state.clone(),
             stopping: stopping.clone(),
         };
         let server_limits = limits_receiver.clone();
@@ -158,7 +158,7 @@
         info!(address, data_centre, peers, store; "started");
         Ok(Self {
             driver,
-            grace: Duration::from_millis(hosted.grace_ms),
+            grace_period: Duration::from_millis(hosted.grace_ms),
             stop,
         })
     }
@@ -167,7 +167,7 @@
     pub fn configure(&mut self, settings: &Settings) {
         self.driver.configure(settings.core.clone());
         if let Some(hosted) = settings.hosted {
-            self.grace = Duration::from_millis(hosted.grace_ms);
+            self.grace_period = Duration::from_millis(hosted.grace_ms);
         }
     }
 
@@ -175,7 +175,7 @@
     /// none is running any more or the grace period ends.
     pub async fn stop(self) {
         let begun = Instant::now();
-        let drain_time_max = self.grace.saturating_sub(GRACE_MARGIN);
+        let drain_time_max = self.grace_period.saturating_sub(GRACE_MARGIN);
         let end = begun + drain_time_max;
         info!("stopping");
         self.stop.send_replace(Some(relay::Stop { begun, end }));
