--- a/crates/node/src/committer.rs
+++ b/crates/node/src/committer.rs
@@ -6,30 +6,30 @@
 use super::*;
 
 /// Time after which claims are given up on, `Unavailable`.
-const PATIENCE: Duration = Duration::from_secs(3);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time between two tries at a service that does not answer.
-const RETRY: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Leases that this instance knows to exist.
 #[derive(Default)]
 pub(crate) struct Leases(tokio::sync::Mutex<HashSet<u64>>);
 
 /// What is known of a place's entry.
-enum Seen {
+enum CachedEntry {
     /// Its last known state; it may have changed since.
     Known(Option<store::Entry>),
     /// Nothing.
     Unknown,
 }
 
-/// Commits the claims of one place.
+/// Commits the claims of one bucket.
 pub(crate) struct Committer {
     driver: Driver,
-    gap: Duration,
+    write_interval: Duration,
     leases: Arc<Leases>,
-    place: claim::BucketId,
-    seen: Seen,
+    bucket: claim::BucketId,
+    cached: CachedEntry,
     store: Store,
     ttl_ms: u64,
 }
@@ -51,91 +51,97 @@
 }
 
 impl Committer {
-    /// A committer of a place, which writes it once in `gap` at most.
+    /// A committer of a bucket, which writes it once in `write_interval` at most.
     pub fn new(
         driver: Driver,
         store: Store,
         leases: Arc<Leases>,
-        place: claim::BucketId,
+        bucket: claim::BucketId,
         ttl_ms: u64,
-        gap: Duration,
+        write_interval: Duration,
     ) -> Self {
         Self {
             driver,
-            gap,
+            write_interval,
             leases,
-            place,
+            bucket,
             // Most places are new; if this one is not, the first swap says what it holds.
-            seen: Seen::Known(None),
+            cached: CachedEntry::Known(None),
             store,
             ttl_ms,
         }
     }
 
     /// Serves the place until nobody asks any more.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<claimer::Order>) {
+    pub async fn run(mut self, mut claims: mpsc::UnboundedReceiver<claimer::PendingClaim>) {
         let mut group = Vec::new();
-        while let Some(order) = orders.recv().await {
-            group.push(order);
-            while let Ok(order) = orders.try_recv() {
-                group.push(order);
+        while let Some(pending) = claims.recv().await {
+            group.push(pending);
+            while let Ok(pending) = claims.try_recv() {
+                group.push(pending);
             }
             self.commit(&mut group).await;
-            sleep(self.gap).await;
+            sleep(self.write_interval).await;
         }
     }
 
     /// Settles a group of claims: reads, adds, and swaps until a swap succeeds.
-    async fn commit(&mut self, group: &mut Vec<claimer::Order>) {
+    async fn commit(&mut self, group: &mut Vec<claimer::PendingClaim>) {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < COMMIT_TIMEOUT {
             match self.attempt(group).await {
                 Ok(Some(outcomes)) => {
-                    for (order, outcome) in group.drain(..).zip(outcomes) {
-                        order.settle(&self.driver, outcome);
+                    for (pending, outcome) in group.drain(..).zip(outcomes) {
+                        pending.complete(&self.driver, outcome);
                     }
                     return;
                 }
                 Ok(None) => {}
                 Err(error) => {
                     debug!("claim: {error}");
-                    self.seen = Seen::Unknown;
-                    self.leases.forget(self.place.lease()).await;
-                    sleep(RETRY).await;
+                    self.cached = CachedEntry::Unknown;
+                    self.leases.forget(self.bucket.lease()).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
-        for order in group.drain(..) {
-            order.settle(&self.driver, ClaimOutcome::Unavailable);
+        for pending in group.drain(..) {
+            pending.complete(&self.driver, ClaimOutcome::Unavailable);
         }
     }
 
     /// One try; `None` if another instance wrote in between.
     async fn attempt(
         &mut self,
-        group: &[claimer::Order],
+        group: &[claimer::PendingClaim],
     ) -> Result<Option<Vec<ClaimOutcome>>, Error> {
-        let key = format!("wellplank/claim/{}/{}", self.place.slice, self.place.bucket);
-        let entry = match std::mem::replace(&mut self.seen, Seen::Unknown) {
-            Seen::Known(entry) => entry,
-            Seen::Unknown => self.store.get(&key).await?,
+        let key = format!(
+            "wellplank/claim/{}/{}",
+            self.bucket.slice, self.bucket.bucket
+        );
+        let entry = match std::mem::replace(&mut self.cached, CachedEntry::Unknown) {
+            CachedEntry::Known(entry) => entry,
+            CachedEntry::Unknown => self.store.get(&key).await?,
         };
-        let mut bucket = match &entry {
+        let mut claims = match &entry {
             None => claim::Bucket::default(),
             Some(entry) => claim::Bucket::decode(&entry.value)
                 .ok_or_else(|| Error::Store(format!("{key} holds no claims")))?,
         };
-        let before = bucket.len();
-        let outcomes = group.iter().map(|order| bucket.add(&order.claim)).collect();
+        let before = claims.len();
+        let outcomes = group
+            .iter()
+            .map(|pending| claims.add(&pending.claim))
+            .collect();
         let expected = entry.as_ref().map_or(0, |entry| entry.revision);
-        if bucket.len() == before {
+        if claims.len() == before {
             // Nothing new to write. The entry may be old, but claims are never taken back.
-            self.seen = Seen::Known(entry);
+            self.cached = CachedEntry::Known(entry);
             return Ok(Some(outcomes));
         }
-        let lease = self.place.lease();
+        let lease = self.bucket.lease();
         self.leases.ensure(&self.store, lease, self.ttl_ms).await?;
-        let value = bucket.encode();
+        let value = claims.encode();
         let write = store::Write {
             expected,
             key: &key,
@@ -144,11 +150,11 @@
         };
         match self.store.swap(write).await? {
             store::Swap::Done(revision) => {
-                self.seen = Seen::Known(Some(store::Entry { revision, value }));
+                self.cached = CachedEntry::Known(Some(store::Entry { revision, value }));
                 Ok(Some(outcomes))
             }
             store::Swap::Lost(entry) => {
-                self.seen = Seen::Known(entry);
+                self.cached = CachedEntry::Known(entry);
                 Ok(None)
             }
         }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -81,9 +81,9 @@
 /// Where the core task sends what it does not carry out itself.
 pub(crate) struct Ends {
     /// The unplanned ends of upstreams that are known.
-    pub account: watch::Sender<account::Known>,
+    pub account: watch::Sender<crash_history::LocalHistory>,
     /// Claims to be settled.
-    pub claims: mpsc::UnboundedSender<claimer::Order>,
+    pub claims: mpsc::UnboundedSender<claimer::PendingClaim>,
     /// Requests to be refused also after all instances were lost.
     pub kept: mpsc::UnboundedSender<keeper::Kept>,
     /// Upstreams that said they are leaving.
@@ -91,17 +91,17 @@
     /// Counters and histograms.
     pub meter: meter::Meter,
     /// What other instances are told.
-    pub told: mpsc::UnboundedSender<gossip::Told>,
+    pub told: mpsc::UnboundedSender<gossip::Message>,
     /// What control sends and receives.
     pub traffic: Traffic,
 }
 
 /// What the core task owns.
 struct Task {
-    account: watch::Sender<account::Known>,
+    account: watch::Sender<crash_history::LocalHistory>,
     attempts: HashMap<attempt::Key, JoinHandle<()>>,
     callers: HashMap<Caller, Listener>,
-    claims: mpsc::UnboundedSender<claimer::Order>,
+    claims: mpsc::UnboundedSender<claimer::PendingClaim>,
     clock: Clock,
     core: Core,
     driver: Driver,
@@ -112,7 +112,7 @@
     pooled: Http,
     probes: Http,
     relaying: Http,
-    told: mpsc::UnboundedSender<gossip::Told>,
+    told: mpsc::UnboundedSender<gossip::Message>,
     traffic: Traffic,
     unknown: unknown::Unknown,
 }
@@ -218,13 +218,13 @@
 impl Ends {
     /// Those of an instance that tells others by frames, and keeps nothing of upstreams that ended.
     pub(crate) fn new(
-        claims: mpsc::UnboundedSender<claimer::Order>,
+        claims: mpsc::UnboundedSender<claimer::PendingClaim>,
         leaving: watch::Sender<Leaving>,
         meter: meter::Meter,
         traffic: Traffic,
     ) -> Self {
         Self {
-            account: watch::channel(account::Known::default()).0,
+            account: watch::channel(crash_history::LocalHistory::default()).0,
             claims,
             kept: mpsc::unbounded_channel().0,
             leaving,
@@ -280,7 +280,7 @@
                 silent_ms,
                 upstream,
             } => note::believe(belief, born, silent_ms, &upstream),
-            Effect::GossipLost(life) => self.tell_others(gossip::Told::Lost(life)),
+            Effect::GossipLost(life) => self.tell_others(gossip::Message::UpstreamLost(life)),
             Effect::Cancel {
                 address,
                 attempt,
@@ -292,10 +292,10 @@
                 }
             }
             Effect::Claim { claim, request } => {
-                let _ = self.claims.send(claimer::Order {
+                let _ = self.claims.send(claimer::PendingClaim {
                     claim,
-                    here: false,
-                    settle: claimer::Settle::Here(request),
+                    commit_here: false,
+                    reply_to: claimer::ReplyTo::Request(request),
                 });
             }
             Effect::EndStream(caller) => self.end(caller, Reply::Close),
@@ -315,7 +315,10 @@
                 self.reply(caller, reply);
             }
             Effect::GossipDemand { demand, pressed } => {
-                self.tell_others(gossip::Told::Demand { demand, pressed });
+                self.tell_others(gossip::Message::Demand {
+                    demand,
+                    is_at_capacity: pressed,
+                });
             }
             Effect::Detach(attempt) => self.abort(attempt),
             Effect::Fail {
@@ -337,14 +340,17 @@
             Effect::GossipLeaving { life, upstream } => self.leaves(life, &upstream),
             Effect::LogRequest(note) => note::write(&note),
             Effect::GossipLimit { life, rate } => {
-                self.tell_others(gossip::Told::Limit { life, rate });
+                self.tell_others(gossip::Message::RateLimit {
+                    incarnation: life,
+                    rate,
+                });
             }
             Effect::ForwardHead(caller) => {
                 if let Some(Held::Head(head)) = self.take_held(caller) {
                     self.reply(caller, Reply::Open(head));
                 }
             }
-            Effect::GossipPace(pace) => self.tell_others(gossip::Told::Pace(pace)),
+            Effect::GossipPace(pace) => self.tell_others(gossip::Message::EngineSpeed(pace)),
             Effect::ForwardEvent { bytes, caller } => self.reply(caller, Reply::Pass(bytes)),
             Effect::Probe { address, upstream } => {
                 let probe = probe::run(self.probes.clone(), self.driver.clone(), upstream, address);
@@ -362,7 +368,7 @@
                 outbound,
                 upstream,
             } => self.send(address, attempt, outbound, upstream),
-            Effect::GossipStream(sighting) => self.tell_others(gossip::Told::Stream(sighting)),
+            Effect::GossipStream(sighting) => self.tell_others(gossip::Message::Stream(sighting)),
             Effect::Observe(timing, millis) => {
                 self.meter.time(meter::Timed::Core(timing), millis as f64);
             }
@@ -389,7 +395,8 @@
                 }
             }
             effect::Quarantine::Publish(account) => {
-                self.account.send_replace(account::Known::new(account));
+                self.account
+                    .send_replace(crash_history::LocalHistory::new(account));
             }
             effect::Quarantine::Refuse { ends, own, print } => {
                 note::quarantine(print, &ends, own);
@@ -397,7 +404,7 @@
                     self.keep(keeper::Kept::Ends(print, ends));
                 }
             }
-            effect::Quarantine::Gossip(news) => self.tell_others(gossip::Told::Ends(news)),
+            effect::Quarantine::Gossip(news) => self.tell_others(gossip::Message::Crashes(news)),
         }
     }
 
@@ -408,7 +415,7 @@
 
     /// Has other instances told that an upstream is leaving, by the one way that there is to them.
     fn leaves(&self, life: Incarnation, name: &str) {
-        self.tell_others(gossip::Told::Leaving(life));
+        self.tell_others(gossip::Message::UpstreamLeaving(life));
         let now = Instant::now();
         self.leaving.send_modify(|leaving| {
             leaving.retain(|_, heard| heard.elapsed() < LEAVING);
@@ -448,7 +455,7 @@
         }
     }
 
-    fn tell_others(&self, told: gossip::Told) {
+    fn tell_others(&self, told: gossip::Message) {
         // Where there are no other instances to tell, nobody listens.
         let _ = self.told.send(told);
     }
--- a/crates/node/src/forwarder.rs
+++ b/crates/node/src/forwarder.rs
@@ -18,7 +18,7 @@
 
 /// Hands claims on to one owner.
 pub(crate) struct Forwarder {
-    back: mpsc::UnboundedSender<claimer::Order>,
+    back: mpsc::UnboundedSender<claimer::PendingClaim>,
     driver: Driver,
     next: u64,
     owner: SocketAddr,
@@ -27,7 +27,7 @@
 
 /// Claims that were sent and not answered.
 struct Batch {
-    orders: Vec<claimer::Order>,
+    orders: Vec<claimer::PendingClaim>,
     sent: Instant,
 }
 
@@ -36,7 +36,7 @@
     /// go `back`.
     pub fn new(
         owner: SocketAddr,
-        back: mpsc::UnboundedSender<claimer::Order>,
+        back: mpsc::UnboundedSender<claimer::PendingClaim>,
         driver: Driver,
     ) -> Self {
         Self {
@@ -49,7 +49,7 @@
     }
 
     /// Serves until nobody asked for a while or the link fails.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<claimer::Order>) {
+    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<claimer::PendingClaim>) {
         let link = timeout(PATIENCE, TcpStream::connect(self.owner)).await;
         if let Ok(Ok(socket)) = link {
             let _ = socket.set_nodelay(true);
@@ -67,9 +67,9 @@
     }
 
     /// Has a claim committed here.
-    fn pass_by(&self, order: claimer::Order) {
-        let _ = self.back.send(claimer::Order {
-            here: true,
+    fn pass_by(&self, order: claimer::PendingClaim) {
+        let _ = self.back.send(claimer::PendingClaim {
+            commit_here: true,
             ..order
         });
     }
@@ -77,7 +77,7 @@
     async fn serve(
         &mut self,
         mut link: Link,
-        orders: &mut mpsc::UnboundedReceiver<claimer::Order>,
+        orders: &mut mpsc::UnboundedReceiver<claimer::PendingClaim>,
     ) {
         let mut used = Instant::now();
         let mut ticks = interval(PATIENCE / 6);
@@ -109,7 +109,7 @@
         }
     }
 
-    fn batch(&mut self, orders: Vec<claimer::Order>) -> peers::Frame {
+    fn batch(&mut self, orders: Vec<claimer::PendingClaim>) -> peers::Frame {
         self.next += 1;
         let claims = orders.iter().map(|order| encode(&order.claim)).collect();
         let batch = Batch {
@@ -136,7 +136,7 @@
         for (order, outcome) in batch.orders.into_iter().zip(outcomes.chain(missing)) {
             match outcome {
                 ClaimOutcome::Unavailable => self.pass_by(order),
-                outcome => order.settle(&self.driver, outcome),
+                outcome => order.complete(&self.driver, outcome),
             }
         }
     }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -14,34 +14,34 @@
 };
 
 /// Bytes of a datagram that are taken in.
-const DATAGRAM: usize = 2_048;
+const DATAGRAM_BYTES_MAX: usize = 2_048;
 
 /// Time that a datagram waits for room on its way out; many changes are told to many at once.
-const SEND: Duration = Duration::from_millis(100);
+const SEND_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Bytes told at once after which the link is given time to carry them; what it has no room for is lost.
 /// Of three datagrams to 28 others on a link of 10 Mbit/s the third was, with 70 KB before it.
-const BURST: usize = 16 << 10;
+const BURST_BYTES: usize = 16 << 10;
 
 /// Seconds for which calls are told, so that a few of them are whole numbers.
-const ASKED_S: f64 = 10.0;
+const RATE_SCALE: f64 = 10.0;
 
 /// Microseconds in a millisecond.
-const MICROS: f64 = 1_000.0;
+const MICROS_PER_MS: f64 = 1_000.0;
 
 /// Paces told at once, at most; more of one moment say the same.
-const PACES: usize = 2;
+const ENGINE_SPEEDS_MAX: usize = 2;
 
 /// Share of the link that such datagrams may take, beside callers' answers.
-const SHARE: f64 = 0.7;
+const LINK_SHARE: f64 = 0.7;
 
 /// What other instances are told.
 #[derive(Clone, Debug)]
-pub(crate) enum Told {
+pub(crate) enum Message {
     /// All unplanned ends of upstreams that are known, told to one that asked.
-    Account(SocketAddr),
+    CrashHistory(SocketAddr),
     /// The question for all unplanned ends that another instance knows.
-    Ask(SocketAddr),
+    CrashHistoryRequest(SocketAddr),
     /// Another configuration is in force here; told within the data centre.
     Configuration,
     /// What the store has just shown; told to those that watch it for themselves.
@@ -52,25 +52,25 @@
         /// What it is asked.
         demand: Demand,
         /// Whether the pool is near what it can serve.
-        pressed: bool,
+        is_at_capacity: bool,
     },
     /// Unplanned ends of upstreams.
-    Ends(CrashHistory),
+    Crashes(CrashHistory),
     /// An upstream says that it is leaving.
-    Leaving(Incarnation),
+    UpstreamLeaving(Incarnation),
     /// An upstream named a limit, or names none any more.
-    Limit {
+    RateLimit {
         /// The upstream.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// What it takes from all instances together.
         rate: Option<Rate>,
     },
     /// An upstream is lost.
-    Lost(Incarnation),
+    UpstreamLost(Incarnation),
     /// How fast the engines of a pool work; it goes along with what is told next.
-    Pace(EngineSpeed),
+    EngineSpeed(EngineSpeed),
     /// Changes of the list of upstreams; told within the data centre.
-    Roster(RosterUpdate),
+    RosterUpdate(RosterUpdate),
     /// A stream is relayed.
     Stream(Sighting),
 }
@@ -78,13 +78,13 @@
 /// What the tasks need.
 pub(crate) struct Gossip {
     /// The unplanned ends of upstreams that this instance knows.
-    pub account: watch::Receiver<account::Known>,
+    pub crash_history: watch::Receiver<crash_history::LocalHistory>,
     /// Client of the store.
     pub client: feed::Client,
     /// The core task.
     pub driver: Driver,
     /// What others let this instance know.
-    pub heard: mpsc::UnboundedSender<PeerReport>,
+    pub peer_reports: mpsc::UnboundedSender<PeerReport>,
     /// Requests to be refused also after all instances were lost.
     pub kept: mpsc::UnboundedReceiver<keeper::Kept>,
     /// What this instance knows.
@@ -101,8 +101,8 @@
     /// Starts the tasks; `told` is what others are told.
     pub async fn start(
         self,
-        tell: mpsc::UnboundedSender<Told>,
-        told: mpsc::UnboundedReceiver<Told>,
+        outgoing: mpsc::UnboundedSender<Message>,
+        messages: mpsc::UnboundedReceiver<Message>,
     ) -> Result<watch::Receiver<Members>, Error> {
         let socket = UdpSocket::bind(self.listen)
             .await
@@ -110,32 +110,32 @@
         let socket = Arc::new(socket);
         let (found, members) = watch::channel(Members::new());
         let (streams, kept) = watch::channel(keeper::Streams::default());
-        let ear = Ear {
-            account: self.account.clone(),
-            curiosity: account::Curiosity::default(),
+        let receiver = DatagramReceiver {
+            crash_history: self.crash_history.clone(),
+            anti_entropy: crash_history::AntiEntropy::default(),
             driver: self.driver.clone(),
-            heard: self.heard,
-            most: KnownState::default(),
+            peer_reports: self.peer_reports,
+            newest: KnownState::default(),
             socket: socket.clone(),
             streams: streams.clone(),
-            tell,
+            outgoing,
         };
-        tokio::spawn(ear.run());
+        tokio::spawn(receiver.run());
         let find = members::find(self.client.clone(), self.own.name.clone(), found);
         tokio::spawn(find);
-        let mouth = Mouth {
-            account: self.account,
+        let sender = DatagramSender {
+            crash_history: self.crash_history,
             demands: BTreeMap::new(),
             known: self.known,
             link_mbps: self.link_mbps,
             members: members.clone(),
             own: self.own.clone(),
-            paces: Vec::new(),
-            pressed: BTreeSet::new(),
+            engine_speeds: Vec::new(),
+            pools_at_capacity: BTreeSet::new(),
             socket,
             streams,
         };
-        tokio::spawn(mouth.run(told));
+        tokio::spawn(sender.run(messages));
         let keeper = keeper::Keeper {
             client: self.client,
             driver: self.driver,
@@ -152,129 +152,141 @@
 }
 
 /// Hands on what other instances tell.
-struct Ear {
-    account: watch::Receiver<account::Known>,
-    curiosity: account::Curiosity,
+struct DatagramReceiver {
+    crash_history: watch::Receiver<crash_history::LocalHistory>,
+    anti_entropy: crash_history::AntiEntropy,
     driver: Driver,
-    heard: mpsc::UnboundedSender<PeerReport>,
+    peer_reports: mpsc::UnboundedSender<PeerReport>,
     /// The most that others let this instance know.
-    most: KnownState,
+    newest: KnownState,
     socket: Arc<UdpSocket>,
     streams: watch::Sender<keeper::Streams>,
     /// What other instances are to be told.
-    tell: mpsc::UnboundedSender<Told>,
+    outgoing: mpsc::UnboundedSender<Message>,
 }
 
-impl Ear {
+impl DatagramReceiver {
     /// Serves for ever.
     async fn run(mut self) {
-        let mut datagram = vec![0; DATAGRAM];
+        let mut datagram = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             match self.socket.recv_from(&mut datagram).await {
-                Ok((length, from)) => self.take(&datagram[..length], from),
+                Ok((length, from)) => self.handle(&datagram[..length], from),
                 // An earlier datagram may have met a closed port.
                 Err(error) => debug!("datagram: {error}"),
             }
         }
     }
 
-    fn take(&mut self, datagram: &[u8], from: SocketAddr) {
-        let told = match peers::Datagram::decode(datagram) {
-            Ok(told) => told,
+    fn handle(&mut self, bytes: &[u8], from: SocketAddr) {
+        let datagram = match peers::Datagram::decode(bytes) {
+            Ok(datagram) => datagram,
             Err(error) => {
                 warn!("a datagram can not be read: {error}");
                 return;
             }
         };
-        if !told.sightings.is_empty() {
+        if !datagram.sightings.is_empty() {
             self.streams.send_modify(|streams| {
-                for sighting in &told.sightings {
+                for sighting in &datagram.sightings {
                     streams.take(sighting);
                 }
             });
-            sight(told.sightings, &self.driver);
+            report_streams(datagram.sightings, &self.driver);
         }
-        self.take_ends(told.ends, told.account, told.asks, from);
-        for life in told.lost {
-            self.driver.event(Event::PeerLoss(decode_life(life)));
+        self.merge_crashes(datagram.ends, datagram.account, datagram.asks, from);
+        for incarnation in datagram.lost {
+            self.driver
+                .event(Event::PeerLoss(decode_incarnation(incarnation)));
         }
-        for life in told.leaving {
-            self.driver.event(Event::PeerLeaving(decode_life(life)));
+        for incarnation in datagram.leaving {
+            self.driver
+                .event(Event::PeerLeaving(decode_incarnation(incarnation)));
         }
-        for limit in told.limits {
-            let life = decode_life(limit.life.unwrap_or_default());
+        for limit in datagram.limits {
+            let incarnation = decode_incarnation(limit.life.unwrap_or_default());
             let rate = limit.rate.map(Rate);
-            self.driver.event(Event::PeerLimit { life, rate });
+            self.driver.event(Event::PeerLimit {
+                life: incarnation,
+                rate,
+            });
         }
-        for demand in told.demands {
+        for demand in datagram.demands {
             let demand = decode_demand(demand);
             self.driver.event(Event::PeerDemand { demand, from });
         }
-        for pace in told.paces {
-            self.driver.event(Event::PeerPace(decode_pace(pace)));
+        for speed in datagram.paces {
+            self.driver
+                .event(Event::PeerPace(decode_engine_speed(speed)));
         }
-        let word = told.roster.map(decode_word);
-        let confirmed = told.confirmed.map(decode_confirmed);
-        let most = &mut self.most;
-        let bare = word.is_none() && confirmed.is_none();
-        let list = Position::new(told.list_era, told.list);
-        if bare && told.configuration <= most.configuration && list <= most.list {
+        let update = datagram.roster.map(decode_roster_update);
+        let confirmed = datagram.confirmed.map(decode_confirmed);
+        let newest = &mut self.newest;
+        let has_no_payload = update.is_none() && confirmed.is_none();
+        let list = Position::new(datagram.list_era, datagram.list);
+        if has_no_payload && datagram.configuration <= newest.configuration && list <= newest.list {
             return;
         }
-        most.configuration = most.configuration.max(told.configuration);
-        most.list = most.list.max(list);
-        let heard = PeerReport {
-            configuration: told.configuration,
+        newest.configuration = newest.configuration.max(datagram.configuration);
+        newest.list = newest.list.max(list);
+        let report = PeerReport {
+            configuration: datagram.configuration,
             confirmed,
             list,
-            update: word,
+            update,
         };
         // The task that learns ends only with the instance.
-        let _ = self.heard.send(heard);
+        let _ = self.peer_reports.send(report);
     }
 }
 
-impl Ear {
+impl DatagramReceiver {
     /// Takes in unplanned ends that another instance told, and finds out whether it knows others: a datagram may have been lost,
     /// or one of the two was cut off or started anew.
-    fn take_ends(&mut self, ends: Vec<peers::End>, digest: u64, asks: bool, from: SocketAddr) {
-        if !ends.is_empty() {
-            let account = account::decode(ends);
-            self.driver.event(Event::CrashReported(account.into()));
+    fn merge_crashes(
+        &mut self,
+        crashes: Vec<peers::End>,
+        digest: u64,
+        is_request: bool,
+        from: SocketAddr,
+    ) {
+        if !crashes.is_empty() {
+            let history = crash_history::decode(crashes);
+            self.driver.event(Event::CrashReported(history.into()));
         }
-        let own = self.account.borrow().digest;
-        let told = if asks {
-            Some(Told::Account(from))
-        } else if self.curiosity.asks(own, digest) {
-            Some(Told::Ask(from))
+        let own = self.crash_history.borrow().digest;
+        let message = if is_request {
+            Some(Message::CrashHistory(from))
+        } else if self.anti_entropy.should_request(own, digest) {
+            Some(Message::CrashHistoryRequest(from))
         } else {
             None
         };
-        if let Some(told) = told {
+        if let Some(message) = message {
             // The task that tells ends only with the instance.
-            let _ = self.tell.send(told);
+            let _ = self.outgoing.send(message);
         }
     }
 }
 
 /// Tells the core of streams that other instances relay.
-pub(crate) fn sight(sightings: Vec<peers::Sighting>, driver: &Driver) {
+pub(crate) fn report_streams(sightings: Vec<peers::Sighting>, driver: &Driver) {
     for sighting in sightings {
-        driver.event(Event::PeerStream(decode(sighting)));
+        driver.event(Event::PeerStream(decode_sighting(sighting)));
     }
 }
 
 /// Another instance that is told something.
 #[derive(Clone, Copy, Debug)]
-struct Listener {
+struct Recipient {
     address: SocketAddr,
     /// Whether it stands in the same data centre.
-    near: bool,
+    is_local: bool,
 }
 
 /// Tells other instances what this one knows.
-struct Mouth {
-    account: watch::Receiver<account::Known>,
+struct DatagramSender {
+    crash_history: watch::Receiver<crash_history::LocalHistory>,
     /// What this instance is asked of each pool.
     demands: BTreeMap<Arc<str>, peers::Demand>,
     known: watch::Receiver<KnownState>,
@@ -283,60 +295,62 @@
     /// This instance.
     own: Own,
     /// What streams showed of engines since the last datagram.
-    paces: Vec<peers::Pace>,
+    engine_speeds: Vec<peers::Pace>,
     /// Pools that are near what they can serve.
-    pressed: BTreeSet<Arc<str>>,
+    pools_at_capacity: BTreeSet<Arc<str>>,
     socket: Arc<UdpSocket>,
     streams: watch::Sender<keeper::Streams>,
 }
 
-impl Mouth {
+impl DatagramSender {
     /// Serves for ever.
-    async fn run(mut self, mut told: mpsc::UnboundedReceiver<Told>) {
-        while let Some(told) = told.recv().await {
-            self.note(&told);
-            let to = self.listeners(&told);
+    async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
+        while let Some(message) = messages.recv().await {
+            self.record(&message);
+            let to = self.recipients(&message);
             if to.is_empty() {
                 continue;
             }
-            for piece in self.pieces(&told) {
-                let mut datagram = self.datagram(told.clone());
-                datagram.ends = piece;
+            for chunk in self.crash_chunks(&message) {
+                let mut datagram = self.datagram(message.clone());
+                datagram.ends = chunk;
                 self.send_all(datagram, &to).await;
             }
         }
     }
 
-    /// The unplanned ends that are told, in the pieces in which they are; one empty piece where none are.
-    fn pieces(&self, told: &Told) -> Vec<Vec<peers::End>> {
-        let pieces = match told {
-            Told::Account(_) | Told::Ask(_) => account::pieces(&self.account.borrow().account),
-            Told::Ends(account) => account::pieces(account),
+    /// The unplanned ends that are told, in the chunks in which they are; one empty piece where none are.
+    fn crash_chunks(&self, message: &Message) -> Vec<Vec<peers::End>> {
+        let chunks = match message {
+            Message::CrashHistory(_) | Message::CrashHistoryRequest(_) => {
+                crash_history::chunks(&self.crash_history.borrow().history)
+            }
+            Message::Crashes(history) => crash_history::chunks(history),
             _ => Vec::new(),
         };
-        if pieces.is_empty() {
+        if chunks.is_empty() {
             return vec![Vec::new()];
         }
-        pieces
+        chunks
     }
 
-    async fn send_all(&self, datagram: peers::Datagram, to: &[Listener]) {
-        let near = datagram.encode_to_vec();
-        let far = self.shortened(datagram).encode_to_vec();
+    async fn send_all(&self, datagram: peers::Datagram, to: &[Recipient]) {
+        let local = datagram.encode_to_vec();
+        let remote = self.for_remote(datagram).encode_to_vec();
         let mut bytes = 0;
-        for listener in to {
-            let datagram = if listener.near { &near } else { &far };
+        for recipient in to {
+            let datagram = if recipient.is_local { &local } else { &remote };
             bytes += datagram.len();
-            self.send(datagram, listener.address).await;
+            self.send(datagram, recipient.address).await;
         }
-        if bytes > BURST {
-            sleep(self.drain(bytes)).await;
+        if bytes > BURST_BYTES {
+            sleep(self.transmission_time(bytes)).await;
         }
     }
 
     /// Sends a datagram. What is lost is told by later ones, or costs a prompt read again.
     async fn send(&self, datagram: &[u8], address: SocketAddr) {
-        match timeout(SEND, self.socket.send_to(datagram, address)).await {
+        match timeout(SEND_TIMEOUT, self.socket.send_to(datagram, address)).await {
             Ok(Ok(_)) => {}
             Ok(Err(error)) => debug!("datagram to {address}: {error}"),
             Err(_) => debug!("datagram to {address}: the link is full"),
@@ -345,116 +359,132 @@
 
     /// The same datagram for another data centre, where bytes are dear: with demands only of pools that are near
     /// what they can serve. Below that what those of the own data centre tell stands for all.
-    fn shortened(&self, mut datagram: peers::Datagram) -> peers::Datagram {
+    fn for_remote(&self, mut datagram: peers::Datagram) -> peers::Datagram {
         if self.members.borrow().len() >= FEW {
-            let pressed = |demand: &peers::Demand| self.pressed.contains(demand.pool.as_str());
-            datagram.demands.retain(pressed);
+            let is_at_capacity =
+                |demand: &peers::Demand| self.pools_at_capacity.contains(demand.pool.as_str());
+            datagram.demands.retain(is_at_capacity);
         }
         datagram
     }
 
     /// Keeps what goes along with the next datagrams.
-    fn note(&mut self, told: &Told) {
-        match told {
-            Told::Demand { demand, pressed } => {
+    fn record(&mut self, message: &Message) {
+        match message {
+            Message::Demand {
+                demand,
+                is_at_capacity,
+            } => {
                 let pool = demand.pool.clone();
-                if *pressed {
-                    self.pressed.insert(pool.clone());
+                if *is_at_capacity {
+                    self.pools_at_capacity.insert(pool.clone());
                 } else {
-                    self.pressed.remove(&pool);
+                    self.pools_at_capacity.remove(&pool);
                 }
                 self.demands.insert(pool, encode_demand(demand));
             }
-            Told::Pace(pace) if self.paces.len() < PACES => self.paces.push(encode_pace(pace)),
-            Told::Stream(sighting) => {
-                let sighting = encode(sighting.clone());
+            Message::EngineSpeed(speed) if self.engine_speeds.len() < ENGINE_SPEEDS_MAX => {
+                self.engine_speeds.push(encode_engine_speed(speed))
+            }
+            Message::Stream(sighting) => {
+                let sighting = encode_sighting(sighting.clone());
                 self.streams.send_modify(|streams| streams.take(&sighting));
             }
-            Told::Account(_)
-            | Told::Ask(_)
-            | Told::Configuration
-            | Told::Confirmed(_)
-            | Told::Ends(_)
-            | Told::Leaving(_)
-            | Told::Limit { .. }
-            | Told::Lost(_)
-            | Told::Pace(_)
-            | Told::Roster(_) => {}
+            Message::CrashHistory(_)
+            | Message::CrashHistoryRequest(_)
+            | Message::Configuration
+            | Message::Confirmed(_)
+            | Message::Crashes(_)
+            | Message::UpstreamLeaving(_)
+            | Message::RateLimit { .. }
+            | Message::UpstreamLost(_)
+            | Message::EngineSpeed(_)
+            | Message::RosterUpdate(_) => {}
         }
     }
 
     /// Time that the share of the link that datagrams may take needs for some bytes.
-    fn drain(&self, bytes: usize) -> Duration {
-        Duration::from_secs_f64(bytes as f64 * 8.0 / (self.link_mbps * 1e6 * SHARE))
+    fn transmission_time(&self, bytes: usize) -> Duration {
+        Duration::from_secs_f64(bytes as f64 * 8.0 / (self.link_mbps * 1e6 * LINK_SHARE))
     }
 
     /// Who is told. Bytes between data centres are dear.
-    fn listeners(&self, told: &Told) -> Vec<Listener> {
+    fn recipients(&self, message: &Message) -> Vec<Recipient> {
         let members = self.members.borrow();
-        let listener = |member: &Member| Listener {
+        let recipient = |member: &Member| Recipient {
             address: member.address,
-            near: member.data_centre == self.own.data_centre,
+            is_local: member.data_centre == self.own.data_centre,
         };
-        let all = members.values().map(listener);
-        match told {
-            Told::Account(address) | Told::Ask(address) => {
-                let near = false;
+        let all = members.values().map(recipient);
+        match message {
+            Message::CrashHistory(address) | Message::CrashHistoryRequest(address) => {
+                let is_local = false;
                 let address = *address;
-                vec![Listener { address, near }]
+                vec![Recipient { address, is_local }]
             }
-            Told::Confirmed(_) => {
+            Message::Confirmed(_) => {
                 let watchers = self.own.watchers(&members);
                 let watchers = watchers.into_iter().filter_map(|name| members.get(name));
-                watchers.map(listener).collect()
+                watchers.map(recipient).collect()
+            }
+            Message::Demand {
+                is_at_capacity: false,
+                ..
             }
-            Told::Demand { pressed: false, .. } | Told::Pace(_) => Vec::new(),
-            Told::Configuration | Told::Demand { .. } | Told::Roster(_) => {
-                all.filter(|listener| listener.near).collect()
+            | Message::EngineSpeed(_) => Vec::new(),
+            Message::Configuration | Message::Demand { .. } | Message::RosterUpdate(_) => {
+                all.filter(|recipient| recipient.is_local).collect()
             }
             // That a prompt is read others believe by its age.
-            Told::Stream(sighting)
+            Message::Stream(sighting)
                 if sighting.stage == Stage::Streaming && members.len() >= FEW =>
             {
                 Vec::new()
             }
-            Told::Ends(_)
-            | Told::Leaving(_)
-            | Told::Limit { .. }
-            | Told::Lost(_)
-            | Told::Stream(_) => all.collect(),
+            Message::Crashes(_)
+            | Message::UpstreamLeaving(_)
+            | Message::RateLimit { .. }
+            | Message::UpstreamLost(_)
+            | Message::Stream(_) => all.collect(),
         }
     }
 
-    fn datagram(&mut self, told: Told) -> peers::Datagram {
+    fn datagram(&mut self, message: Message) -> peers::Datagram {
         let known = *self.known.borrow();
         let mut datagram = peers::Datagram {
-            account: self.account.borrow().digest,
-            asks: matches!(told, Told::Ask(_)),
+            account: self.crash_history.borrow().digest,
+            asks: matches!(message, Message::CrashHistoryRequest(_)),
             configuration: known.configuration,
             demands: self.demands.values().cloned().collect(),
             list: known.list.revision,
             list_era: known.list.era,
-            paces: std::mem::take(&mut self.paces),
+            paces: std::mem::take(&mut self.engine_speeds),
             ..peers::Datagram::default()
         };
-        match told {
-            Told::Account(_)
-            | Told::Ask(_)
-            | Told::Configuration
-            | Told::Demand { .. }
-            | Told::Ends(_)
-            | Told::Pace(_) => {}
-            Told::Confirmed(confirmed) => {
+        match message {
+            Message::CrashHistory(_)
+            | Message::CrashHistoryRequest(_)
+            | Message::Configuration
+            | Message::Demand { .. }
+            | Message::Crashes(_)
+            | Message::EngineSpeed(_) => {}
+            Message::Confirmed(confirmed) => {
                 datagram.confirmed = Some(encode_confirmed(confirmed));
             }
-            Told::Leaving(life) => datagram.leaving.push(encode_life(life)),
-            Told::Limit { life, rate } => datagram.limits.push(peers::Limit {
-                life: Some(encode_life(life)),
+            Message::UpstreamLeaving(incarnation) => {
+                datagram.leaving.push(encode_incarnation(incarnation));
+            }
+            Message::RateLimit { incarnation, rate } => datagram.limits.push(peers::Limit {
+                life: Some(encode_incarnation(incarnation)),
                 rate: rate.map(|rate| rate.0),
             }),
-            Told::Lost(life) => datagram.lost.push(encode_life(life)),
-            Told::Roster(word) => datagram.roster = Some(encode_word(word)),
-            Told::Stream(sighting) => datagram.sightings.push(encode(sighting)),
+            Message::UpstreamLost(incarnation) => {
+                datagram.lost.push(encode_incarnation(incarnation));
+            }
+            Message::RosterUpdate(update) => {
+                datagram.roster = Some(encode_roster_update(update));
+            }
+            Message::Stream(sighting) => datagram.sightings.push(encode_sighting(sighting)),
         }
         datagram
     }
@@ -485,19 +515,19 @@
 }
 
 /// Changes of the list as another instance tells them.
-fn decode_word(word: peers::Roster) -> RosterUpdate {
+fn decode_roster_update(roster: peers::Roster) -> RosterUpdate {
     RosterUpdate {
-        outage_ms: word.away_ms.into(),
-        changes: word
+        outage_ms: roster.away_ms.into(),
+        changes: roster
             .entries
             .into_iter()
-            .map(|entry| decode_change(entry, word.era))
+            .map(|entry| decode_change(entry, roster.era))
             .collect(),
-        from: Position::new(word.era, word.from),
-        grace_ms: word.returning_ms.into(),
-        is_grace_extended: word.held,
-        uptime_ms: word.steady_ms.into(),
-        to: Position::new(word.era, word.to),
+        from: Position::new(roster.era, roster.from),
+        grace_ms: roster.returning_ms.into(),
+        is_grace_extended: roster.held,
+        uptime_ms: roster.steady_ms.into(),
+        to: Position::new(roster.era, roster.to),
     }
 }
 
@@ -530,16 +560,16 @@
     }
 }
 
-fn encode_word(word: RosterUpdate) -> peers::Roster {
+fn encode_roster_update(update: RosterUpdate) -> peers::Roster {
     peers::Roster {
-        away_ms: word.outage_ms as u32,
-        entries: word.changes.into_iter().map(encode_change).collect(),
-        era: word.to.era,
-        from: word.from.revision,
-        returning_ms: word.grace_ms as u32,
-        held: word.is_grace_extended,
-        steady_ms: word.uptime_ms as u32,
-        to: word.to.revision,
+        away_ms: update.outage_ms as u32,
+        entries: update.changes.into_iter().map(encode_change).collect(),
+        era: update.to.era,
+        from: update.from.revision,
+        returning_ms: update.grace_ms as u32,
+        held: update.is_grace_extended,
+        steady_ms: update.uptime_ms as u32,
+        to: update.to.revision,
     }
 }
 
@@ -577,26 +607,26 @@
 }
 
 /// A life as another instance names it.
-pub(crate) fn decode_life(life: peers::Life) -> Incarnation {
-    let peers::Life { born, id } = life;
+pub(crate) fn decode_incarnation(incarnation: peers::Life) -> Incarnation {
+    let peers::Life { born, id } = incarnation;
     Incarnation { id, born }
 }
 
-pub(crate) fn encode_life(life: Incarnation) -> peers::Life {
-    let Incarnation { id, born } = life;
+pub(crate) fn encode_incarnation(incarnation: Incarnation) -> peers::Life {
+    let Incarnation { id, born } = incarnation;
     peers::Life { born, id }
 }
 
 /// What another instance is asked of a pool.
 fn decode_demand(demand: peers::Demand) -> Demand {
     Demand {
-        arrival_rate: f64::from(demand.asked) / ASKED_S,
+        arrival_rate: f64::from(demand.asked) / RATE_SCALE,
         last_call: demand.last.map(|last| FinishedCall {
             duration_ms: last.millis,
             upstream: last.upstream,
         }),
         pool: demand.pool.into(),
-        retry_rate: f64::from(demand.returned) / ASKED_S,
+        retry_rate: f64::from(demand.returned) / RATE_SCALE,
         running: demand.running,
         service_time_ms: f64::from(demand.takes_ms),
     }
@@ -604,36 +634,36 @@
 
 fn encode_demand(demand: &Demand) -> peers::Demand {
     peers::Demand {
-        asked: (demand.arrival_rate * ASKED_S).round() as u32,
+        asked: (demand.arrival_rate * RATE_SCALE).round() as u32,
         last: demand.last_call.map(|last| peers::Ended {
             millis: last.duration_ms,
             upstream: last.upstream,
         }),
         pool: demand.pool.to_string(),
-        returned: (demand.retry_rate * ASKED_S).round() as u32,
+        returned: (demand.retry_rate * RATE_SCALE).round() as u32,
         running: demand.running,
         takes_ms: demand.service_time_ms.ceil() as u32,
     }
 }
 
 /// How fast another instance saw engines work.
-fn decode_pace(pace: peers::Pace) -> EngineSpeed {
+fn decode_engine_speed(speed: peers::Pace) -> EngineSpeed {
     EngineSpeed {
-        event_interval_ms: f64::from(pace.event_us) / MICROS,
-        pool: pace.pool.into(),
-        prefill_ms_per_token: f64::from(pace.reading_us) / MICROS,
+        event_interval_ms: f64::from(speed.event_us) / MICROS_PER_MS,
+        pool: speed.pool.into(),
+        prefill_ms_per_token: f64::from(speed.reading_us) / MICROS_PER_MS,
     }
 }
 
-fn encode_pace(pace: &EngineSpeed) -> peers::Pace {
+fn encode_engine_speed(speed: &EngineSpeed) -> peers::Pace {
     peers::Pace {
-        event_us: (pace.event_interval_ms * MICROS) as u32,
-        pool: pace.pool.to_string(),
-        reading_us: (pace.prefill_ms_per_token * MICROS) as u32,
+        event_us: (speed.event_interval_ms * MICROS_PER_MS) as u32,
+        pool: speed.pool.to_string(),
+        reading_us: (speed.prefill_ms_per_token * MICROS_PER_MS) as u32,
     }
 }
 
-fn decode(sighting: peers::Sighting) -> Sighting {
+fn decode_sighting(sighting: peers::Sighting) -> Sighting {
     let stage = match sighting.stage() {
         peers::Stage::Ended => Stage::Ended,
         peers::Stage::Left => Stage::Left,
@@ -642,18 +672,18 @@
         peers::Stage::Waiting => Stage::Waiting,
     };
     Sighting {
-        backup: sighting.backup.map(decode_life),
+        backup: sighting.backup.map(decode_incarnation),
         pool: sighting.pool,
         prompt: sighting.prompt,
         run: sighting.run,
         stage,
         tokens: sighting.tokens,
-        upstream: sighting.upstream.map(decode_life),
+        upstream: sighting.upstream.map(decode_incarnation),
     }
 }
 
 /// A sighting as others are told it. Of a stream that is whole they need to know its prompt only.
-fn encode(sighting: Sighting) -> peers::Sighting {
+fn encode_sighting(sighting: Sighting) -> peers::Sighting {
     if sighting.stage == Stage::Ended {
         return peers::Sighting {
             prompt: sighting.prompt,
@@ -668,12 +698,12 @@
         Stage::Waiting => peers::Stage::Waiting,
     };
     peers::Sighting {
-        backup: sighting.backup.map(encode_life),
+        backup: sighting.backup.map(encode_incarnation),
         pool: sighting.pool,
         prompt: sighting.prompt,
         run: sighting.run,
         stage: stage.into(),
         tokens: sighting.tokens,
-        upstream: sighting.upstream.map(encode_life),
+        upstream: sighting.upstream.map(encode_incarnation),
     }
 }
--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -73,7 +73,7 @@
     /// Starts every task of an instance.
     pub async fn start(settings: Settings, hosted: Hosted) -> Result<Self, Error> {
         let clock = Clock::new();
-        let (account, ends_known) = watch::channel(account::Known::default());
+        let (account, ends_known) = watch::channel(crash_history::LocalHistory::default());
         let (heard, hearing) = mpsc::unbounded_channel();
         let (kept, keeping) = mpsc::unbounded_channel();
         let (known, own) = watch::channel(KnownState::default());
@@ -119,15 +119,15 @@
         let page = Router::with_path("metrics").get(page);
         serve(hosted.metrics, page, idle).await?;
         let gossip = gossip::Gossip {
-            account: ends_known,
             client: client.clone(),
+            crash_history: ends_known,
             driver: driver.clone(),
-            heard,
             kept: keeping,
             known: own,
             link_mbps: hosted.link_mbps,
             listen: hosted.peers,
             own: this.clone(),
+            peer_reports: heard,
         };
         let members = gossip.start(telling_others.clone(), telling).await?;
         tokio::spawn(count(members.clone(), this.clone(), driver.clone()));
--- a/crates/node/src/instance.rs
+++ b/crates/node/src/instance.rs
@@ -34,7 +34,7 @@
         let store = Store::new(settings.platform.store, patience, &traffic);
         let (claims, claim_orders) = mpsc::unbounded_channel();
         let (orders, revision_orders) = mpsc::unbounded_channel();
-        let (held, held_here) = watch::channel(revision::Held::default());
+        let (held, held_here) = watch::channel(revision::ActiveConfig::default());
         let (list, listed) = watch::channel(Vec::new());
         let (peers, peers_heard) = watch::channel(peer::Peers::new());
         let stopping = Arc::new(AtomicBool::new(false));
@@ -51,37 +51,37 @@
         let ends = driver::Ends::new(claims.clone(), leaving, meter, traffic.clone());
         let (driver, core) = Driver::start(&settings, clock, ends);
         let claimer = claimer::Claimer {
+            claims: claims.clone(),
             driver: driver.clone(),
             list: listed.clone(),
-            orders: claims.clone(),
             settings: settings.clone(),
             store: store.clone(),
         };
         let links = peer::Links {
+            active_config: held_here.clone(),
             claims,
+            config_commands: orders.clone(),
             driver: driver.clone(),
             leaving: leaving_here,
-            held: held_here.clone(),
-            orders: orders.clone(),
             peers,
             settings: settings.clone(),
             traffic: traffic.clone(),
         };
         let (drain, drained) = watch::channel(false);
         let operators = operator::Service {
+            active_config: held_here.clone(),
+            config_commands: orders.clone(),
             drain,
             driver: driver.clone(),
-            held: held_here.clone(),
             list: listed.clone(),
-            orders: orders.clone(),
             peers: peers_heard,
             settings: settings.clone(),
             stopping: stopping.clone(),
         };
         let revisions = revision::Task {
+            active_config: held,
             clock,
             driver: driver.clone(),
-            held,
             list: listed.clone(),
             store: store.clone(),
         };
@@ -99,7 +99,7 @@
                 traffic,
             )),
             tokio::spawn(revisions.run(revision_orders)),
-            tokio::spawn(revision::watch(
+            tokio::spawn(revision::watch_head(
                 settings.clone(),
                 store,
                 listed.clone(),
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -114,7 +114,7 @@
         let key = format!("{QUARANTINE}{}", self.print());
         match self {
             Self::Ends(_, account) => {
-                let ends = account::encode(account);
+                let ends = crash_history::encode(account);
                 let value = peers::Ends { ends }.encode_to_vec();
                 platform::store::put(&key, &value, NO_LEASE)
             }
@@ -241,7 +241,7 @@
             let read = item.bytes().map(peers::Ends::decode);
             match read {
                 Ok(Ok(kept)) => {
-                    let account = account::decode(kept.ends);
+                    let account = crash_history::decode(kept.ends);
                     self.driver.event(Event::CrashReported(account.into()));
                 }
                 Ok(Err(error)) => warn!("{} can not be read: {error}", item.key),
@@ -275,7 +275,7 @@
                 }
             };
             match peers::Sightings::decode(value) {
-                Ok(kept) => gossip::sight(kept.sightings, &self.driver),
+                Ok(kept) => gossip::report_streams(kept.sightings, &self.driver),
                 Err(error) => warn!("{} can not be read: {error}", item.key),
             }
         }
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/learner.rs
@@ -42,7 +42,7 @@
     /// This instance.
     pub own: Own,
     /// Where other instances are told.
-    pub told: mpsc::UnboundedSender<gossip::Told>,
+    pub told: mpsc::UnboundedSender<gossip::Message>,
 }
 
 /// What a call brought.
@@ -155,7 +155,11 @@
             }
             // The task that tells ends only with the instance.
             Output::Confirm(confirmed) => {
-                drop(self.learner.told.send(gossip::Told::Confirmed(confirmed)));
+                drop(
+                    self.learner
+                        .told
+                        .send(gossip::Message::Confirmed(confirmed)),
+                );
             }
             Output::Cancel(call, why) => self.drop(call, why),
             Output::Era(era) => {
@@ -170,10 +174,10 @@
             }
             // The task that tells ends only with the instance.
             Output::AnnounceRoster(word) => {
-                drop(self.learner.told.send(gossip::Told::Roster(word)));
+                drop(self.learner.told.send(gossip::Message::RosterUpdate(word)));
             }
             Output::AnnounceConfiguration => {
-                drop(self.learner.told.send(gossip::Told::Configuration));
+                drop(self.learner.told.send(gossip::Message::Configuration));
             }
             Output::Upstreams(listed) => {
                 let listed = Some(listed);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,7 +12,6 @@
 pub mod reader;
 pub mod settings;
 
-mod account;
 mod answer;
 mod caller;
 mod calls;
@@ -20,6 +19,7 @@
 mod claimer;
 mod committer;
 mod completions;
+mod crash_history;
 mod engine;
 mod feed;
 mod forward;
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -5,7 +5,7 @@
 use tonic::{Code, Status};
 
 /// Longest note of a change in bytes.
-const NOTE_MAX: usize = 200;
+const NOTE_BYTES_MAX: usize = 200;
 
 /// Serves operators.
 pub(crate) struct Service {
@@ -14,11 +14,11 @@
     /// Told when the instance shall stop as planned.
     pub drain: watch::Sender<bool>,
     /// The configuration held here.
-    pub held: watch::Receiver<revision::Held>,
+    pub active_config: watch::Receiver<revision::ActiveConfig>,
     /// The platform's list.
     pub list: watch::Receiver<Vec<list::Line>>,
     /// Where changes are sent.
-    pub orders: mpsc::UnboundedSender<revision::Order>,
+    pub config_commands: mpsc::UnboundedSender<revision::Command>,
     /// Peers heard of.
     pub peers: watch::Receiver<peer::Peers>,
     /// Settings.
@@ -28,7 +28,7 @@
 }
 
 impl Service {
-    fn peers_heard(&self) -> Vec<schema::PeerState> {
+    fn linked_peers(&self) -> Vec<schema::PeerState> {
         let peers = self.peers.borrow();
         peers
             .iter()
@@ -36,7 +36,7 @@
                 name: name.clone(),
                 reachable: true,
                 revision: peer.revision,
-                silent_ms: peer.heard.elapsed().as_millis() as u64,
+                silent_ms: peer.last_heartbeat.elapsed().as_millis() as u64,
             })
             .collect()
     }
@@ -64,15 +64,17 @@
     ) -> Result<tonic::Response<schema::ApplyReply>, Status> {
         self.authorize(&request)?;
         let request = request.into_inner();
-        if request.note.len() > NOTE_MAX {
-            let text = format!("note must not be longer than {NOTE_MAX} bytes");
+        if request.note.len() > NOTE_BYTES_MAX {
+            let text = format!("note must not be longer than {NOTE_BYTES_MAX} bytes");
             return Err(Status::invalid_argument(text));
         }
         if request.change.is_empty() {
             return Err(Status::invalid_argument("change must not be empty"));
         }
         let (sender, receiver) = oneshot::channel();
-        let _ = self.orders.send(revision::Order::Apply(request, sender));
+        let _ = self
+            .config_commands
+            .send(revision::Command::Apply(request, sender));
         let reply = receiver
             .await
             .map_err(|_| Status::new(Code::Unavailable, "the instance is stopping"))?;
@@ -95,10 +97,10 @@
         request: tonic::Request<schema::GetRequest>,
     ) -> Result<tonic::Response<schema::GetReply>, Status> {
         self.authorize(&request)?;
-        let held = self.held.borrow().clone();
+        let active = self.active_config.borrow().clone();
         Ok(tonic::Response::new(schema::GetReply {
-            declaration: Some(held.declaration),
-            revision: held.head.revision,
+            declaration: Some(active.declaration),
+            revision: active.head.revision,
         }))
     }
 
@@ -107,7 +109,7 @@
         request: tonic::Request<schema::HistoryRequest>,
     ) -> Result<tonic::Response<schema::HistoryReply>, Status> {
         self.authorize(&request)?;
-        let changes = self.held.borrow().head.changes.clone();
+        let changes = self.active_config.borrow().head.changes.clone();
         let changes = changes.into_iter().map(|change| schema::ChangeState {
             id: change.id,
             note: change.note,
@@ -128,9 +130,9 @@
         let stopping = self.stopping.load(Ordering::Relaxed);
         let peers = if request.into_inner().everywhere {
             let list = self.list.borrow().clone();
-            peer::revisions(&list).await
+            peer::fetch_revisions(&list).await
         } else {
-            self.peers_heard()
+            self.linked_peers()
         };
         Ok(tonic::Response::new(schema::StatusReply {
             counters: snapshot.counters,
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -5,22 +5,22 @@
 use tokio_util::codec::Framed;
 
 /// Time after which a link on which nothing came is given up on, in heartbeats.
-const SILENCE: u32 = 6;
+const MISSED_HEARTBEATS_MAX: u32 = 6;
 
 /// Bytes before each frame that hold its length.
-const FRAME_HEAD: usize = 4;
+const FRAME_LENGTH_BYTES: usize = 4;
 
 /// Time that an instance asked by itself has to answer.
-const ASK: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Instances asked for parts before the key-value service is.
-const FETCH_PEERS: usize = 2;
+const FETCH_PEERS_MAX: usize = 2;
 
 /// What is known of another instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
     /// Time of its last heartbeat.
-    pub heard: Instant,
+    pub last_heartbeat: Instant,
     /// Revision that it has in force.
     pub revision: u64,
 }
@@ -32,15 +32,15 @@
 #[derive(Clone)]
 pub(crate) struct Links {
     /// Where claims that peers hand on are sent.
-    pub claims: mpsc::UnboundedSender<claimer::Order>,
+    pub claims: mpsc::UnboundedSender<claimer::PendingClaim>,
     /// The core task.
     pub driver: Driver,
     /// Upstreams that are leaving, to be told to peers.
     pub leaving: watch::Receiver<driver::Leaving>,
     /// The configuration held here.
-    pub held: watch::Receiver<revision::Held>,
+    pub active_config: watch::Receiver<revision::ActiveConfig>,
     /// Where heads that come are sent.
-    pub orders: mpsc::UnboundedSender<revision::Order>,
+    pub config_commands: mpsc::UnboundedSender<revision::Command>,
     /// Peers heard of.
     pub peers: watch::Sender<Peers>,
     /// Settings.
@@ -55,7 +55,7 @@
         loop {
             match listener.accept().await {
                 Ok((socket, _)) => {
-                    tokio::spawn(self.clone().link(socket));
+                    tokio::spawn(self.clone().serve(socket));
                 }
                 Err(error) => {
                     warn!("peer: {error}");
@@ -71,33 +71,33 @@
         let mut ticks = interval(Duration::from_millis(self.settings.heartbeat_ms));
         loop {
             ticks.tick().await;
-            let wanted = self.wanted(&list.borrow());
+            let link_targets = self.link_targets(&list.borrow());
             links.retain(|address, link| {
-                let keep = wanted.contains(address);
+                let keep = link_targets.contains(address);
                 if !keep {
                     link.abort();
                 }
                 keep && !link.is_finished()
             });
-            for address in wanted {
+            for address in link_targets {
                 links
                     .entry(address)
-                    .or_insert_with(|| tokio::spawn(self.clone().dial(address)));
+                    .or_insert_with(|| tokio::spawn(self.clone().open(address)));
             }
         }
     }
 
-    async fn dial(self, address: SocketAddr) {
+    async fn open(self, address: SocketAddr) {
         match TcpStream::connect(address).await {
-            Ok(socket) => self.link(socket).await,
+            Ok(socket) => self.serve(socket).await,
             Err(error) => debug!("peer {address}: {error}"),
         }
     }
 
     /// Serves one link until it ends; a wrong frame ends it.
-    async fn link(self, socket: TcpStream) {
+    async fn serve(self, socket: TcpStream) {
         let beat = Duration::from_millis(self.settings.heartbeat_ms);
-        let mut held = self.held.clone();
+        let mut active_config = self.active_config.clone();
         let mut leaving = self.leaving.clone();
         let (answers, mut answered) = mpsc::unbounded_channel();
         let _ = socket.set_nodelay(true);
@@ -106,16 +106,16 @@
         let mut known = 0;
         let mut ticks = interval(beat);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        while last.elapsed() < beat * SILENCE {
+        while last.elapsed() < beat * MISSED_HEARTBEATS_MAX {
             tokio::select! {
                 frame = frames.next() => match frame {
                     Some(Ok(frame)) => {
                         last = Instant::now();
-                        self.traffic.count(FRAME_HEAD + frame.encoded_len());
+                        self.traffic.count(FRAME_LENGTH_BYTES + frame.encoded_len());
                         if let Some(peers::frame::Body::Heartbeat(beat)) = &frame.body {
                             known = beat.revision;
                         }
-                        if !self.take(frame, &answers) {
+                        if !self.handle(frame, &answers) {
                             warn!("peer: a frame holds what it may not");
                             return;
                         }
@@ -129,7 +129,7 @@
                 },
                 answer = answered.recv() => {
                     let Some(answer) = answer else { return };
-                    self.traffic.count(FRAME_HEAD + answer.encoded_len());
+                    self.traffic.count(FRAME_LENGTH_BYTES + answer.encoded_len());
                     if frames.send(answer).await.is_err() {
                         return;
                     }
@@ -139,13 +139,14 @@
                 changed = leaving.changed() => if changed.is_err() {
                     return;
                 },
-                changed = held.changed() => if changed.is_err() {
+                changed = active_config.changed() => if changed.is_err() {
                     return;
                 },
             }
             let names = leaving.borrow_and_update().keys().cloned().collect();
-            let heartbeat = self.heartbeat(&held.borrow_and_update(), names, known);
-            self.traffic.count(FRAME_HEAD + heartbeat.encoded_len());
+            let heartbeat = self.heartbeat(&active_config.borrow_and_update(), names, known);
+            self.traffic
+                .count(FRAME_LENGTH_BYTES + heartbeat.encoded_len());
             if frames.send(heartbeat).await.is_err() {
                 return;
             }
@@ -153,9 +154,14 @@
     }
 
     /// A heartbeat for a peer that is known to have revision `known`.
-    fn heartbeat(&self, held: &revision::Held, leaving: Vec<String>, known: u64) -> peers::Frame {
-        let head = if held.head.revision > known {
-            held.head.encode_to_vec()
+    fn heartbeat(
+        &self,
+        active: &revision::ActiveConfig,
+        leaving: Vec<String>,
+        known: u64,
+    ) -> peers::Frame {
+        let head = if active.head.revision > known {
+            active.head.encode_to_vec()
         } else {
             Vec::new()
         };
@@ -163,18 +169,18 @@
             head,
             instance: self.settings.instance.clone(),
             leaving,
-            revision: held.head.revision,
+            revision: active.head.revision,
         });
         peers::Frame { body: Some(body) }
     }
 
     /// Takes in a frame; false if it holds what it may not.
-    fn take(&self, frame: peers::Frame, answers: &mpsc::UnboundedSender<peers::Frame>) -> bool {
+    fn handle(&self, frame: peers::Frame, answers: &mpsc::UnboundedSender<peers::Frame>) -> bool {
         match frame.body {
-            Some(peers::frame::Body::ClaimBatch(batch)) => self.take_claims(&batch, answers),
-            Some(peers::frame::Body::Heartbeat(beat)) => self.take_heartbeat(beat),
+            Some(peers::frame::Body::ClaimBatch(batch)) => self.handle_claims(&batch, answers),
+            Some(peers::frame::Body::Heartbeat(beat)) => self.handle_heartbeat(beat),
             Some(peers::frame::Body::PartRequest(request)) => {
-                let parts = self.held.borrow().parts.clone();
+                let parts = self.active_config.borrow().parts.clone();
                 let found = request
                     .digests
                     .iter()
@@ -191,7 +197,7 @@
     }
 
     /// Has claims committed that a peer handed on, and answers when all are settled.
-    fn take_claims(
+    fn handle_claims(
         &self,
         batch: &peers::ClaimBatch,
         answers: &mpsc::UnboundedSender<peers::Frame>,
@@ -204,10 +210,10 @@
             .into_iter()
             .map(|claim| {
                 let (sender, receiver) = oneshot::channel();
-                let _ = self.claims.send(claimer::Order {
+                let _ = self.claims.send(claimer::PendingClaim {
                     claim,
-                    here: true,
-                    settle: claimer::Settle::There(sender),
+                    commit_here: true,
+                    reply_to: claimer::ReplyTo::Peer(sender),
                 });
                 receiver
             })
@@ -228,12 +234,12 @@
         true
     }
 
-    fn take_heartbeat(&self, beat: peers::Heartbeat) -> bool {
+    fn handle_heartbeat(&self, beat: peers::Heartbeat) -> bool {
         let Ok(head) = Head::decode(&beat.head[..]) else {
             return false;
         };
         let peer = Peer {
-            heard: Instant::now(),
+            last_heartbeat: Instant::now(),
             revision: beat.revision,
         };
         self.peers.send_modify(|peers| {
@@ -242,14 +248,14 @@
         for name in beat.leaving {
             self.driver.event(Event::Leaving(name));
         }
-        if head.revision > self.held.borrow().head.revision {
-            let _ = self.orders.send(revision::Order::Head(head));
+        if head.revision > self.active_config.borrow().head.revision {
+            let _ = self.config_commands.send(revision::Command::Head(head));
         }
         true
     }
 
     /// Addresses to link to: those ranked first by a hash of both names, so that links are spread.
-    fn wanted(&self, list: &[list::Line]) -> HashSet<SocketAddr> {
+    fn link_targets(&self, list: &[list::Line]) -> HashSet<SocketAddr> {
         let own = &self.settings.instance;
         let mut others: Vec<&list::Line> = list
             .iter()
@@ -272,16 +278,16 @@
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL)
         .collect();
     let mut found = Vec::new();
-    for _ in 0..FETCH_PEERS.min(instances.len()) {
+    for _ in 0..FETCH_PEERS_MAX.min(instances.len()) {
         let peer = instances.swap_remove(rand::random_range(0..instances.len()));
         let body = peers::frame::Body::PartRequest(peers::PartRequest {
             digests: digests.to_vec(),
         });
-        let asked = ask(peer.address, body, |body| match body {
+        let asked = request(peer.address, body, |body| match body {
             peers::frame::Body::Parts(parts) => Some(parts.parts),
             _ => None,
         });
-        if let Ok(Some(parts)) = timeout(ASK, asked).await {
+        if let Ok(Some(parts)) = timeout(REQUEST_TIMEOUT, asked).await {
             found = parts.into_iter().map(Bytes::from).collect();
         }
         if found.len() == digests.len() {
@@ -292,17 +298,17 @@
 }
 
 /// Asks every instance on the list for the revision that it has in force.
-pub(crate) async fn revisions(list: &[list::Line]) -> Vec<schema::PeerState> {
+pub(crate) async fn fetch_revisions(list: &[list::Line]) -> Vec<schema::PeerState> {
     let asked = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
         .map(async |line| {
             let body = peers::frame::Body::PartRequest(peers::PartRequest::default());
-            let heard = ask(line.address, body, |body| match body {
+            let heard = request(line.address, body, |body| match body {
                 peers::frame::Body::Heartbeat(beat) => Some(beat.revision),
                 _ => None,
             });
-            let revision = timeout(ASK, heard).await.ok().flatten();
+            let revision = timeout(REQUEST_TIMEOUT, heard).await.ok().flatten();
             schema::PeerState {
                 name: line.instance.clone(),
                 reachable: revision.is_some(),
@@ -314,7 +320,7 @@
 }
 
 /// Sends one frame to an instance and waits for the answer that `take` takes.
-async fn ask<T>(
+async fn request<T>(
     address: SocketAddr,
     body: peers::frame::Body,
     take: impl Fn(peers::frame::Body) -> Option<T>,
--- a/crates/node/src/revision.rs
+++ b/crates/node/src/revision.rs
@@ -5,26 +5,26 @@
 use std::collections::hash_map::Entry;
 
 /// Key of the head.
-const HEAD: &str = "wellplank/head";
+const HEAD_KEY: &str = "wellplank/head";
 
 /// Changes that a head remembers.
-const CHANGES: usize = 16;
+const CHANGES_MAX: usize = 16;
 
 /// Instances per data centre that keep a watch.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
 /// Time between two tries to watch.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after which the head is read though nothing was heard.
-const POLL: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Tries to settle a change whose answer was lost.
-const TRIES: usize = 20;
+const APPLY_ATTEMPTS: usize = 20;
 
 /// The configuration that an instance holds.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Held {
+pub(crate) struct ActiveConfig {
     /// What operators declared.
     pub declaration: schema::Declaration,
     /// Its head.
@@ -35,7 +35,7 @@
 
 /// What the task is told.
 #[derive(Debug)]
-pub(crate) enum Order {
+pub(crate) enum Command {
     /// An operator's change.
     Apply(
         schema::ApplyRequest,
@@ -54,7 +54,7 @@
     /// The core task.
     pub driver: Driver,
     /// Where the configuration is held.
-    pub held: watch::Sender<Held>,
+    pub active_config: watch::Sender<ActiveConfig>,
     /// The platform's list.
     pub list: watch::Receiver<Vec<list::Line>>,
     /// The key-value service.
@@ -62,27 +62,27 @@
 }
 
 impl Task {
-    /// Serves orders until the instance ends.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<Order>) {
-        while let Some(order) = orders.recv().await {
-            match order {
-                Order::Apply(request, sender) => {
+    /// Serves commands until the instance ends.
+    pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
+        while let Some(command) = commands.recv().await {
+            match command {
+                Command::Apply(request, sender) => {
                     let reply = self.apply(request).await;
                     let _ = sender.send(reply);
                 }
-                Order::Head(head) => self.take(head).await,
-                Order::Read => {
-                    if let Ok(Some(entry)) = self.store.get(HEAD).await
+                Command::Head(head) => self.adopt_or_warn(head).await,
+                Command::Read => {
+                    if let Ok(Some(entry)) = self.store.get(HEAD_KEY).await
                         && let Ok(head) = decode(&entry.value)
                     {
-                        self.take(head).await;
+                        self.adopt_or_warn(head).await;
                     }
                 }
             }
         }
     }
 
-    async fn take(&mut self, head: Head) {
+    async fn adopt_or_warn(&mut self, head: Head) {
         if let Err(error) = self.adopt(head).await {
             warn!("configuration: {error}");
         }
@@ -90,11 +90,11 @@
 
     /// Takes a head into force if it is newer than the one held.
     async fn adopt(&mut self, head: Head) -> Result<(), Error> {
-        let current = self.held.borrow().head.revision;
+        let current = self.active_config.borrow().head.revision;
         if head.revision <= current {
             return Ok(());
         }
-        let parts = self.gather(&head).await?;
+        let parts = self.collect_parts(&head).await?;
         let declarations: Vec<schema::Declaration> = head
             .parts
             .iter()
@@ -107,7 +107,7 @@
         let config = declaration::compile(&declaration, head.revision);
         self.driver.event(Event::Config(Arc::new(config)));
         let revision = head.revision;
-        self.held.send_replace(Held {
+        self.active_config.send_replace(ActiveConfig {
             declaration,
             head,
             parts: Arc::new(parts),
@@ -118,8 +118,8 @@
 
     /// The parts of a head: those held, then those that peers have, then the rest from the
     /// key-value service, which may be down.
-    async fn gather(&self, head: &Head) -> Result<HashMap<Vec<u8>, Bytes>, Error> {
-        let held = self.held.borrow().parts.clone();
+    async fn collect_parts(&self, head: &Head) -> Result<HashMap<Vec<u8>, Bytes>, Error> {
+        let held = self.active_config.borrow().parts.clone();
         let mut parts = HashMap::new();
         let mut missing = Vec::new();
         for part in &head.parts {
@@ -138,7 +138,7 @@
         }
         for digest in missing {
             if let Entry::Vacant(entry) = parts.entry(digest) {
-                let bytes = self.fetch(entry.key()).await?;
+                let bytes = self.read_part(entry.key()).await?;
                 entry.insert(bytes);
             }
         }
@@ -150,7 +150,7 @@
         let declaration = request.declaration.unwrap_or_default();
         let faults = declaration::check(&declaration);
         if !faults.is_empty() || request.dry_run {
-            let revision = self.held.borrow().head.revision;
+            let revision = self.active_config.borrow().head.revision;
             return Ok(schema::ApplyReply {
                 faults,
                 revision,
@@ -162,16 +162,16 @@
             note: request.note,
             ..Default::default()
         };
-        for _ in 0..TRIES {
+        for _ in 0..APPLY_ATTEMPTS {
             let tried = self
-                .accept(&declaration, request.expect_revision, &change)
+                .try_apply(&declaration, request.expect_revision, &change)
                 .await;
             match tried {
                 Ok(Some(reply)) => return Ok(reply),
                 Ok(None) => {}
                 Err(error) => {
                     warn!("apply: {error}");
-                    sleep(RETRY).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
@@ -181,17 +181,17 @@
     }
 
     /// One try to accept a change; `None` if another one came in between and any may win.
-    async fn accept(
+    async fn try_apply(
         &mut self,
         declaration: &schema::Declaration,
         expected: Option<u64>,
         change: &peers::Change,
     ) -> Result<Option<schema::ApplyReply>, Error> {
         let parts = self.write_parts(declaration).await?;
-        self.swap(&parts, expected, change).await
+        self.swap_head(&parts, expected, change).await
     }
 
-    async fn fetch(&self, digest: &[u8]) -> Result<Bytes, Error> {
+    async fn read_part(&self, digest: &[u8]) -> Result<Bytes, Error> {
         let key = part_key(digest);
         let entry = self.store.get(&key).await?;
         let entry = entry.ok_or_else(|| Error::Store(format!("{key} is missing")))?;
@@ -202,13 +202,13 @@
     }
 
     /// One try to swap the head; `None` if another change came in between and any may win.
-    async fn swap(
+    async fn swap_head(
         &mut self,
         parts: &[peers::Part],
         expected: Option<u64>,
         change: &peers::Change,
     ) -> Result<Option<schema::ApplyReply>, Error> {
-        let entry = self.store.get(HEAD).await?;
+        let entry = self.store.get(HEAD_KEY).await?;
         let head = match &entry {
             None => Head::default(),
             Some(entry) => decode(&entry.value)?,
@@ -236,11 +236,11 @@
             time_ms: self.clock.now().0,
             ..change.clone()
         });
-        let surplus = next.changes.len().saturating_sub(CHANGES);
+        let surplus = next.changes.len().saturating_sub(CHANGES_MAX);
         next.changes.drain(..surplus);
         let write = store::Write {
             expected: entry.map_or(0, |entry| entry.revision),
-            key: HEAD,
+            key: HEAD_KEY,
             lease: 0,
             value: &next.encode_to_vec(),
         };
@@ -260,7 +260,7 @@
         for part in declaration::split(declaration) {
             let value = part.encode_to_vec();
             let digest = blake3::hash(&value).as_bytes().to_vec();
-            if !self.held.borrow().parts.contains_key(&digest) {
+            if !self.active_config.borrow().parts.contains_key(&digest) {
                 let write = store::Write {
                     expected: 0,
                     key: &part_key(&digest),
@@ -277,33 +277,33 @@
 
 /// Keeps a watch on the head if this instance is one of the few that do, and has the head read now
 /// and then in any case.
-pub(crate) async fn watch(
+pub(crate) async fn watch_head(
     settings: Settings,
     store: Store,
     mut list: watch::Receiver<Vec<list::Line>>,
-    orders: mpsc::UnboundedSender<Order>,
-    held: watch::Receiver<Held>,
+    commands: mpsc::UnboundedSender<Command>,
+    active_config: watch::Receiver<ActiveConfig>,
 ) {
     loop {
-        if watches(&settings, &list.borrow()) {
+        if is_watcher(&settings, &list.borrow()) {
             // A change before the watch began is found by the read when it has begun.
-            let seen = store.watch(HEAD, |seen| match seen {
-                store::Seen::Changed(entry) => hand_on(&orders, &entry),
+            let seen = store.watch(HEAD_KEY, |seen| match seen {
+                store::Seen::Changed(entry) => forward_head(&commands, &entry),
                 store::Seen::Created => {
-                    let _ = orders.send(Order::Read);
+                    let _ = commands.send(Command::Read);
                 }
             });
             tokio::select! {
-                _ = timeout(POLL, seen) => {}
-                _ = list.wait_for(|list| !watches(&settings, list)) => {}
+                _ = timeout(POLL_INTERVAL, seen) => {}
+                _ = list.wait_for(|list| !is_watcher(&settings, list)) => {}
             }
-            sleep(RETRY).await;
+            sleep(RETRY_INTERVAL).await;
         } else {
-            let _ = orders.send(Order::Read);
-            let known = held.borrow().head.revision > 0;
+            let _ = commands.send(Command::Read);
+            let known = active_config.borrow().head.revision > 0;
             tokio::select! {
-                () = sleep(if known { POLL } else { RETRY }) => {}
-                _ = list.wait_for(|list| watches(&settings, list)) => {}
+                () = sleep(if known { POLL_INTERVAL } else { RETRY_INTERVAL }) => {}
+                _ = list.wait_for(|list| is_watcher(&settings, list)) => {}
             }
         }
     }
@@ -313,10 +313,10 @@
     Head::decode(value).map_err(|error| Error::Store(error.to_string()))
 }
 
-fn hand_on(orders: &mpsc::UnboundedSender<Order>, entry: &store::Entry) {
+fn forward_head(commands: &mpsc::UnboundedSender<Command>, entry: &store::Entry) {
     match decode(&entry.value) {
         Ok(head) => {
-            let _ = orders.send(Order::Head(head));
+            let _ = commands.send(Command::Head(head));
         }
         Err(error) => warn!("head: {error}"),
     }
@@ -330,7 +330,7 @@
 }
 
 /// Whether this instance is one of those that watch for its data centre; not before it is listed.
-fn watches(settings: &Settings, list: &[list::Line]) -> bool {
+fn is_watcher(settings: &Settings, list: &[list::Line]) -> bool {
     let mut names: Vec<&str> = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
@@ -341,5 +341,5 @@
     names
         .iter()
         .position(|name| *name == settings.instance)
-        .is_some_and(|rank| rank < WATCHERS)
+        .is_some_and(|rank| rank < WATCHERS_PER_DATA_CENTRE)
 }
