--- a/crates/node/src/claimer.rs
+++ b/crates/node/src/claimer.rs
@@ -1,48 +1,49 @@
 //! Claims of idempotency keys: each is committed by the instance that owns its bucket, so that
 //! instances do not write against each other, and the claims of one bucket share its writes.
 //!
-//! Which instance owns a bucket is only a hint: whoever commits does it by compare-and-swap, and an
-//! owner that does not answer in time is passed by.
+//! Ownership is only a hint: every commit is a compare-and-swap, and the claims of an owner that does
+//! not answer in time are committed here.
 
 use super::*;
 
-/// Places that are written at the same time: two slices of time, each with all its buckets.
+/// Number of buckets written concurrently: those of two time slices.
 const HOT_BUCKETS: u64 = 2 * claim::BUCKETS;
 
-/// Slices after which the committer of a bucket is ended.
+/// Age in time slices at which the committer of a bucket is stopped.
 const BUCKET_IDLE_SLICES: u64 = 30;
 
-/// Where the outcome of a claim goes.
+/// Recipient of the outcome of a claim.
 #[derive(Debug)]
 pub(crate) enum ReplyTo {
-    /// To a request of this instance.
+    /// A request of this instance.
     Request(request::Key),
-    /// To the link of the instance that handed it on.
+    /// The connection of the instance that forwarded the claim.
     Peer(oneshot::Sender<ClaimOutcome>),
 }
 
-/// A claim to settle.
+/// A claim to be committed.
 #[derive(Debug)]
 pub(crate) struct PendingClaim {
     /// The claim.
     pub claim: Claim,
-    /// Whether it must be committed here, whoever owns its bucket.
+    /// Whether this instance must commit it, even if another one owns its bucket.
     pub commit_here: bool,
-    /// Where its outcome goes.
+    /// Recipient of its outcome.
     pub reply_to: ReplyTo,
 }
 
-/// What settling claims needs.
+/// The task that commits claims or forwards them to the owners of their buckets.
 pub(crate) struct Claimer {
+    /// Channel to this task, for claims that another task could not take.
+    pub claims: mpsc::UnboundedSender<PendingClaim>,
     pub driver: Driver,
     pub list: watch::Receiver<Vec<list::Line>>,
-    pub claims: mpsc::UnboundedSender<PendingClaim>,
     pub settings: Settings,
     pub store: Store,
 }
 
 impl PendingClaim {
-    /// Tells whoever waits.
+    /// Reports the outcome to the recipient.
     pub fn complete(self, driver: &Driver, outcome: ClaimOutcome) {
         match self.reply_to {
             ReplyTo::Request(request) => driver.event(Event::Claimed { outcome, request }),
@@ -54,7 +55,7 @@
 }
 
 impl Claimer {
-    /// Settles claims until the instance ends.
+    /// Handles claims until the instance stops.
     pub async fn run(self, mut claims: mpsc::UnboundedReceiver<PendingClaim>) {
         let leases = Arc::new(committer::Leases::default());
         let mut committers: HashMap<claim::BucketId, mpsc::UnboundedSender<PendingClaim>> =
@@ -81,9 +82,9 @@
                     .entry(bucket)
                     .or_insert_with(|| self.commit(bucket, &leases))
             };
-            let rejected = sender.send(pending).err();
-            if let Some(error) = rejected {
-                // The task ended since the look above; the next look starts another.
+            let unsent = sender.send(pending).err();
+            if let Some(error) = unsent {
+                // The task ended after the check above; the next pass starts another.
                 let _ = self.claims.send(error.0);
             }
         }
@@ -116,7 +117,7 @@
         sender
     }
 
-    /// Address of the instance that commits a bucket; `None` if it is this one.
+    /// Address of the instance that owns a bucket; `None` if it is this one.
     fn owner(&self, bucket: claim::BucketId) -> Option<SocketAddr> {
         let list = self.list.borrow();
         let rank = |line: &&list::Line| {
--- a/crates/node/src/committer.rs
+++ b/crates/node/src/committer.rs
@@ -1,41 +1,41 @@
-//! Commits the claims of one place to the key-value service.
+//! Commits the claims of one bucket to the key-value service.
 //!
-//! Claims that come while a write is under way, or before the place may be written again, go into
-//! the next write together, so the rate of writes is bounded however many claims come.
+//! Claims that arrive during a write, or before the bucket may be written again, are batched into the
+//! next write, so the rate of writes is bounded regardless of the rate of claims.
 
 use super::*;
 
-/// Time after which claims are given up on, `Unavailable`.
+/// Time after which claims that could not be committed fail as `Unavailable`.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time between two tries at a service that does not answer.
+/// Time between two attempts after an error of the service.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Leases that this instance knows to exist.
+/// Identifiers of the leases that this instance knows to exist.
 #[derive(Default)]
 pub(crate) struct Leases(tokio::sync::Mutex<HashSet<u64>>);
 
-/// What is known of a place's entry.
+/// Cached entry of the bucket.
 enum CachedEntry {
-    /// Its last known state; it may have changed since.
+    /// Its last known state, which may be stale; `None` if it does not exist.
     Known(Option<store::Entry>),
-    /// Nothing.
+    /// It must be read first.
     Unknown,
 }
 
 /// Commits the claims of one bucket.
 pub(crate) struct Committer {
-    driver: Driver,
-    write_interval: Duration,
-    leases: Arc<Leases>,
     bucket: claim::BucketId,
     cached: CachedEntry,
+    driver: Driver,
+    leases: Arc<Leases>,
     store: Store,
     ttl_ms: u64,
+    write_interval: Duration,
 }
 
 impl Leases {
-    /// Makes sure that a lease exists.
+    /// Creates a lease unless it is known to exist.
     async fn ensure(&self, store: &Store, lease: u64, ttl_ms: u64) -> Result<(), Error> {
         let mut known = self.0.lock().await;
         if !known.contains(&lease) {
@@ -51,7 +51,7 @@
 }
 
 impl Committer {
-    /// A committer of a bucket, which writes it once in `write_interval` at most.
+    /// Creates a committer that waits for `write_interval` after each batch.
     pub fn new(
         driver: Driver,
         store: Store,
@@ -61,37 +61,37 @@
         write_interval: Duration,
     ) -> Self {
         Self {
-            driver,
-            write_interval,
-            leases,
             bucket,
-            // Most places are new; if this one is not, the first swap says what it holds.
+            // Most buckets are new; if this one is not, the first swap fails and returns its entry.
             cached: CachedEntry::Known(None),
+            driver,
+            leases,
             store,
             ttl_ms,
+            write_interval,
         }
     }
 
-    /// Serves the place until nobody asks any more.
+    /// Commits claims until their channel is closed.
     pub async fn run(mut self, mut claims: mpsc::UnboundedReceiver<claimer::PendingClaim>) {
-        let mut group = Vec::new();
+        let mut batch = Vec::new();
         while let Some(pending) = claims.recv().await {
-            group.push(pending);
+            batch.push(pending);
             while let Ok(pending) = claims.try_recv() {
-                group.push(pending);
+                batch.push(pending);
             }
-            self.commit(&mut group).await;
+            self.commit(&mut batch).await;
             sleep(self.write_interval).await;
         }
     }
 
-    /// Settles a group of claims: reads, adds, and swaps until a swap succeeds.
-    async fn commit(&mut self, group: &mut Vec<claimer::PendingClaim>) {
+    /// Commits a batch of claims: reads, adds, and swaps until a swap succeeds.
+    async fn commit(&mut self, batch: &mut Vec<claimer::PendingClaim>) {
         let start = Instant::now();
         while start.elapsed() < COMMIT_TIMEOUT {
-            match self.attempt(group).await {
+            match self.attempt(batch).await {
                 Ok(Some(outcomes)) => {
-                    for (pending, outcome) in group.drain(..).zip(outcomes) {
+                    for (pending, outcome) in batch.drain(..).zip(outcomes) {
                         pending.complete(&self.driver, outcome);
                     }
                     return;
@@ -105,15 +105,15 @@
                 }
             }
         }
-        for pending in group.drain(..) {
+        for pending in batch.drain(..) {
             pending.complete(&self.driver, ClaimOutcome::Unavailable);
         }
     }
 
-    /// One try; `None` if another instance wrote in between.
+    /// One attempt; `None` if another instance wrote the bucket in between.
     async fn attempt(
         &mut self,
-        group: &[claimer::PendingClaim],
+        batch: &[claimer::PendingClaim],
     ) -> Result<Option<Vec<ClaimOutcome>>, Error> {
         let key = format!(
             "wellplank/claim/{}/{}",
@@ -126,16 +126,16 @@
         let mut claims = match &entry {
             None => claim::Bucket::default(),
             Some(entry) => claim::Bucket::decode(&entry.value)
-                .ok_or_else(|| Error::Store(format!("{key} holds no claims")))?,
+                .ok_or_else(|| Error::Store(format!("{key} does not contain claims")))?,
         };
-        let before = claims.len();
-        let outcomes = group
+        let previous_count = claims.len();
+        let outcomes = batch
             .iter()
             .map(|pending| claims.add(&pending.claim))
             .collect();
         let expected = entry.as_ref().map_or(0, |entry| entry.revision);
-        if claims.len() == before {
-            // Nothing new to write. The entry may be old, but claims are never taken back.
+        if claims.len() == previous_count {
+            // No claim is new. The cached entry may be stale, but claims are never removed.
             self.cached = CachedEntry::Known(entry);
             return Ok(Some(outcomes));
         }
--- a/crates/node/src/crash_history.rs
+++ b/crates/node/src/crash_history.rs
@@ -1,4 +1,5 @@
-//! Unplanned ends of upstreams as instances tell and keep them, and how two instances find out that they know different ones.
+//! Encoding of the crash history for datagrams and for the store, and anti-entropy, by which
+//! instances detect that their histories differ.
 
 use super::*;
 use wellplank_core::{
@@ -6,24 +7,26 @@
     quarantine::{Crash, CrashHistory, Involvement},
 };
 
-/// Bytes of ends in one datagram, at most: with all else that one holds they stay within what a link carries in one chunk.
+/// Maximum number of bytes of crashes in one datagram, so that with all its other content it is
+/// not fragmented.
 const CHUNK_BYTES: usize = 900;
 
-/// Time between two questions of an instance for what others know, in milliseconds. Datagrams that are on their way make
-/// accounts differ for some of them; a lost one is made up for well within the second in which all must know.
+/// Minimum interval between two requests of an instance for other histories. Histories differ for
+/// some milliseconds while datagrams are in flight; a lost datagram is made up for well within the
+/// second after which all instances must know of a crash.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What this instance knows, and what tells it from what others know.
+/// The crash history of this instance, with its digest.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LocalHistory {
-    /// All ends that it knows.
-    pub history: Arc<CrashHistory>,
-    /// What accounts that hold the same have in common.
+    /// Digest of the content: equal at instances that know the same crashes; 0 for none.
     pub digest: u64,
+    /// All crashes known to this instance.
+    pub history: Arc<CrashHistory>,
 }
 
 impl LocalHistory {
-    /// What is known, with its digest.
+    /// Computes the digest of a history.
     pub fn new(history: CrashHistory) -> Self {
         let digest = history.digest();
         Self {
@@ -33,16 +36,17 @@
     }
 }
 
-/// Decides when another instance is asked for what it knows.
+/// Decides when to request the history of another instance.
 #[derive(Debug, Default)]
 pub(crate) struct AntiEntropy {
-    last_request: Option<Instant>,
-    /// Since when what others know differs_since from what this one knows.
+    /// When a received digest first differed from the own one; `None` if the last was equal.
     differs_since: Option<Instant>,
+    /// When a history was last requested.
+    last_request: Option<Instant>,
 }
 
 impl AntiEntropy {
-    /// Another instance told the digest of what it knows; whether it is to be asked for that.
+    /// Compares the own digest with a received one; returns whether to request the sender's history.
     pub fn should_request(&mut self, own: u64, received: u64) -> bool {
         if own == received {
             self.differs_since = None;
@@ -61,7 +65,7 @@
     }
 }
 
-/// Ends as they are told, in chunks that fit into a datagram each.
+/// Encodes a history in chunks that fit into a datagram each.
 pub(crate) fn chunks(history: &CrashHistory) -> Vec<Vec<peers::End>> {
     let mut chunks: Vec<Vec<peers::End>> = Vec::new();
     let mut bytes = CHUNK_BYTES;
@@ -79,7 +83,7 @@
     chunks
 }
 
-/// Ends as they are told and kept.
+/// Encodes a history for datagrams and for the store.
 pub(crate) fn encode(history: &CrashHistory) -> Vec<peers::End> {
     let encode = |(incarnation, crash): (Incarnation, &Crash)| {
         let with = |involvement: Involvement| {
@@ -92,27 +96,27 @@
         peers::End {
             at_ms: crash.at.0,
             cleared: with(Involvement::Cleared),
+            fresh: with(Involvement::Fresh),
             life: Some(gossip::encode_incarnation(incarnation)),
             ran: with(Involvement::Ran),
-            fresh: with(Involvement::Fresh),
         }
     };
     history.crashes().map(encode).collect()
 }
 
-/// Ends that were told or kept; one that names no upstream is left out.
-pub(crate) fn decode(ends: Vec<peers::End>) -> CrashHistory {
+/// Decodes a history; leaves out crashes that name no upstream.
+pub(crate) fn decode(crashes: Vec<peers::End>) -> CrashHistory {
     let mut history = CrashHistory::default();
-    for end in ends {
-        let Some(incarnation) = end.life else {
-            warn!("an end of no upstream was told");
+    for crash in crashes {
+        let Some(incarnation) = crash.life else {
+            warn!("ignored a crash report that names no upstream");
             continue;
         };
         let incarnation = gossip::decode_incarnation(incarnation);
         let requests = [
-            (end.fresh, Involvement::Fresh),
-            (end.ran, Involvement::Ran),
-            (end.cleared, Involvement::Cleared),
+            (crash.fresh, Involvement::Fresh),
+            (crash.ran, Involvement::Ran),
+            (crash.cleared, Involvement::Cleared),
         ];
         for (fingerprints, involvement) in requests {
             for fingerprint in fingerprints {
@@ -120,7 +124,7 @@
                     incarnation,
                     RequestFingerprint(fingerprint),
                     involvement,
-                    Time(end.at_ms),
+                    Time(crash.at_ms),
                 );
             }
         }
--- a/crates/node/src/declaration.rs
+++ b/crates/node/src/declaration.rs
@@ -1,26 +1,27 @@
-//! Declarations of operators: checked, compiled into the configuration, and split into parts.
+//! Checks the declarations of operators, compiles them to the configuration, and splits them into
+//! parts.
 
 use super::*;
 
-/// Greatest weight of a customer.
+/// Maximum weight of a customer.
 const WEIGHT_MAX: u32 = 1_000;
 
-/// Longest deadline in milliseconds.
+/// Maximum deadline in milliseconds.
 const DEADLINE_MAX: u64 = 7_200_000;
 
-/// Longest wait for an upstream in milliseconds.
+/// Maximum wait for an upstream in milliseconds.
 const WAIT_MAX: u64 = 600_000;
 
-/// Hexadecimal digits of a digest.
+/// Number of hexadecimal digits of a digest.
 const DIGEST_DIGITS: usize = 64;
 
-/// Buckets that customers and services are spread over, so that a change rewrites a small part.
+/// Number of hash buckets of customers and of services, so that a change rewrites only a small part.
 const BUCKETS: u8 = 32;
 
 /// Parts by kind of entry and bucket of its name.
 type Parts = BTreeMap<(u8, u8), schema::Declaration>;
 
-/// Finds the faults of a declaration.
+/// Collects the faults of a declaration.
 struct Checker<'a> {
     declaration: &'a schema::Declaration,
     faults: Vec<schema::Fault>,
@@ -34,11 +35,11 @@
             let place = |field: &str| format!("customers[{index}].{field}");
             self.name(&customer.name, &mut names, place("name"));
             let digest = &customer.key_digest;
-            let hex = digest.len() == DIGEST_DIGITS
+            let is_hex = digest.len() == DIGEST_DIGITS
                 && digest
                     .chars()
                     .all(|digit| matches!(digit, '0'..='9' | 'a'..='f'));
-            if !hex {
+            if !is_hex {
                 self.fault(
                     place("key_digest"),
                     format!("`{digest}` must be 64 lower-case hexadecimal digits"),
@@ -90,8 +91,8 @@
     }
 
     fn name<'b>(&mut self, name: &'b str, names: &mut HashSet<&'b str>, place: String) {
-        let plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-        if name.is_empty() || !name.chars().all(plain) {
+        let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+        if name.is_empty() || !name.chars().all(is_allowed) {
             self.fault(
                 place,
                 format!("`{name}` must be letters, digits, `-`, `_` and `.`"),
@@ -129,11 +130,11 @@
                     format!("`{adapter}` is not an adapter of the model"),
                 );
             }
-            let times = [
+            let limits = [
                 ("max_wait_ms", service.max_wait_ms, WAIT_MAX),
                 ("deadline_ms", service.deadline_ms, DEADLINE_MAX),
             ];
-            for (field, value, max) in times {
+            for (field, value, max) in limits {
                 if !(1..=max).contains(&value) {
                     self.fault(place(field), format!("{value} must be from 1 to {max}"));
                 }
@@ -142,7 +143,7 @@
     }
 }
 
-/// Checks a declaration; every fault in one pass.
+/// Checks a declaration; returns all faults, not only the first.
 pub fn check(declaration: &schema::Declaration) -> Vec<schema::Fault> {
     let mut checker = Checker {
         declaration,
@@ -154,7 +155,7 @@
     checker.faults
 }
 
-/// The configuration that a checked declaration means. What the check would refuse is left out.
+/// Compiles a checked declaration to the configuration. Services of undeclared models are left out.
 pub fn compile(declaration: &schema::Declaration, revision: u64) -> Config {
     let models: BTreeMap<String, Arc<config::Model>> = declaration
         .models
@@ -191,7 +192,7 @@
     }
 }
 
-/// Puts parts together.
+/// Joins the parts of a declaration.
 pub fn join<'a>(parts: impl Iterator<Item = &'a schema::Declaration>) -> schema::Declaration {
     let mut whole = schema::Declaration::default();
     for part in parts {
@@ -202,7 +203,7 @@
     whole
 }
 
-/// Splits a declaration into parts that change little when one entry changes.
+/// Splits a declaration into parts, few of which change with one entry.
 pub fn split(declaration: &schema::Declaration) -> Vec<schema::Declaration> {
     let mut parts = Parts::new();
     let mut sorted = declaration.clone();
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -1,5 +1,6 @@
-//! What instances on the users' platform tell each other by datagrams: the streams that they relay, the
-//! upstreams that they lose, changes of the list of upstreams, and how new their configuration is.
+//! Gossip between the instances on the users' platform, by datagrams that are not acknowledged: the
+//! streams that instances relay, lost and leaving upstreams, crashes, demand, changes of the list of
+//! upstreams, and the revisions that each instance knows.
 
 use super::*;
 use members::{FEW, Member, Members, Own};
@@ -13,92 +14,95 @@
     roster::{self, Entry, RosterUpdate},
 };
 
-/// Bytes of a datagram that are taken in.
+/// Size of the receive buffer, in bytes; the rest of a longer datagram is cut off.
 const DATAGRAM_BYTES_MAX: usize = 2_048;
 
-/// Time that a datagram waits for room on its way out; many changes are told to many at once.
+/// Time that sending waits for space in the socket's buffer: many messages may be due to many
+/// instances at once.
 const SEND_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Bytes told at once after which the link is given time to carry them; what it has no room for is lost.
-/// Of three datagrams to 28 others on a link of 10 Mbit/s the third was, with 70 KB before it.
+/// Bytes sent at once, beyond which sending pauses until the link has carried them; the link drops
+/// what it cannot queue. Of three datagrams to 28 instances on a 10 Mbit/s link, the third was
+/// dropped, behind 70 KB.
 const BURST_BYTES: usize = 16 << 10;
 
-/// Seconds for which calls are told, so that a few of them are whole numbers.
-const RATE_SCALE: f64 = 10.0;
+/// Period in seconds over which datagrams state call rates, so that low rates are whole numbers.
+const RATE_PERIOD_S: f64 = 10.0;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1_000.0;
 
-/// Paces told at once, at most; more of one moment say the same.
+/// Maximum number of engine speeds per datagram; more samples of one moment would be alike.
 const ENGINE_SPEEDS_MAX: usize = 2;
 
-/// Share of the link that such datagrams may take, beside callers' answers.
+/// Share of the link's rate at which datagrams are sent; the rest is for responses to callers.
 const LINK_SHARE: f64 = 0.7;
 
-/// What other instances are told.
+/// A message to other instances.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    /// All unplanned ends of upstreams that are known, told to one that asked.
-    CrashHistory(SocketAddr),
-    /// The question for all unplanned ends that another instance knows.
-    CrashHistoryRequest(SocketAddr),
-    /// Another configuration is in force here; told within the data centre.
+    /// Another configuration is in force here. Sent within the data centre.
     Configuration,
-    /// What the store has just shown; told to those that watch it for themselves.
+    /// Proof from the store that a topic is up to date. Sent to the other watchers.
     Confirmed(Confirmed),
-    /// What the instance is asked of a pool; it goes along with what else is told. Where `pressed`, it is told
-    /// within the data centre also alone.
+    /// The whole crash history, for an instance that requested it.
+    CrashHistory(SocketAddr),
+    /// A request for the whole crash history of another instance, which gets that of this one.
+    CrashHistoryRequest(SocketAddr),
+    /// New crashes of upstreams.
+    Crashes(CrashHistory),
+    /// Demand for a pool. Later datagrams include it; if the pool is near its capacity, it is also
+    /// sent at once within the data centre.
     Demand {
-        /// What it is asked.
+        /// The demand at this instance.
         demand: Demand,
-        /// Whether the pool is near what it can serve.
+        /// Whether the pool is near its capacity.
         is_at_capacity: bool,
     },
-    /// Unplanned ends of upstreams.
-    Crashes(CrashHistory),
-    /// An upstream says that it is leaving.
-    UpstreamLeaving(Incarnation),
-    /// An upstream named a limit, or names none any more.
+    /// How fast the engines of a pool work. Included in the next datagram.
+    EngineSpeed(EngineSpeed),
+    /// An upstream set a rate limit, or no longer sets one.
     RateLimit {
         /// The upstream.
         incarnation: Incarnation,
-        /// What it takes from all instances together.
+        /// The limit for all instances together; `None` if there is none any more.
         rate: Option<Rate>,
     },
-    /// An upstream is lost.
-    UpstreamLost(Incarnation),
-    /// How fast the engines of a pool work; it goes along with what is told next.
-    EngineSpeed(EngineSpeed),
-    /// Changes of the list of upstreams; told within the data centre.
+    /// Changes of the list of upstreams. Sent within the data centre.
     RosterUpdate(RosterUpdate),
-    /// A stream is relayed.
+    /// The state of a relayed stream.
     Stream(Sighting),
+    /// An upstream announced that it is leaving.
+    UpstreamLeaving(Incarnation),
+    /// An upstream is lost.
+    UpstreamLost(Incarnation),
 }
 
-/// What the tasks need.
+/// Inputs and settings of the gossip tasks.
 pub(crate) struct Gossip {
-    /// The unplanned ends of upstreams that this instance knows.
-    pub crash_history: watch::Receiver<crash_history::LocalHistory>,
     /// Client of the store.
     pub client: feed::Client,
+    /// The crashes of upstreams that this instance knows.
+    pub crash_history: watch::Receiver<crash_history::LocalHistory>,
     /// The core task.
     pub driver: Driver,
-    /// What others let this instance know.
-    pub peer_reports: mpsc::UnboundedSender<PeerReport>,
-    /// Requests to be refused also after all instances were lost.
+    /// Changes of the quarantine to store, so that it outlives the loss of all instances.
     pub kept: mpsc::UnboundedReceiver<keeper::Kept>,
-    /// What this instance knows.
+    /// What this instance knows of the store.
     pub known: watch::Receiver<KnownState>,
-    /// What the instance's link carries, in megabits a second.
+    /// Rate of the instance's link in megabits per second.
     pub link_mbps: f64,
-    /// Where datagrams come.
+    /// Address on which datagrams are received.
     pub listen: SocketAddr,
     /// This instance.
     pub own: Own,
+    /// Channel for what other instances report of the store.
+    pub peer_reports: mpsc::UnboundedSender<PeerReport>,
 }
 
 impl Gossip {
-    /// Starts the tasks; `told` is what others are told.
+    /// Starts the tasks. They send the `messages`; `outgoing` is the other end of that channel, for
+    /// replies to datagrams.
     pub async fn start(
         self,
         outgoing: mpsc::UnboundedSender<Message>,
@@ -108,29 +112,29 @@
             .await
             .map_err(|error| Error::Bind(self.listen, error))?;
         let socket = Arc::new(socket);
-        let (found, members) = watch::channel(Members::new());
-        let (streams, kept) = watch::channel(keeper::Streams::default());
+        let (members_sender, members) = watch::channel(Members::new());
+        let (streams, known_streams) = watch::channel(keeper::Streams::default());
         let receiver = DatagramReceiver {
-            crash_history: self.crash_history.clone(),
             anti_entropy: crash_history::AntiEntropy::default(),
+            crash_history: self.crash_history.clone(),
             driver: self.driver.clone(),
-            peer_reports: self.peer_reports,
             newest: KnownState::default(),
+            outgoing,
+            peer_reports: self.peer_reports,
             socket: socket.clone(),
             streams: streams.clone(),
-            outgoing,
         };
         tokio::spawn(receiver.run());
-        let find = members::find(self.client.clone(), self.own.name.clone(), found);
-        tokio::spawn(find);
+        let discovery = members::find(self.client.clone(), self.own.name.clone(), members_sender);
+        tokio::spawn(discovery);
         let sender = DatagramSender {
             crash_history: self.crash_history,
             demands: BTreeMap::new(),
+            engine_speeds: Vec::new(),
             known: self.known,
             link_mbps: self.link_mbps,
             members: members.clone(),
             own: self.own.clone(),
-            engine_speeds: Vec::new(),
             pools_at_capacity: BTreeSet::new(),
             socket,
             streams,
@@ -144,36 +148,36 @@
             members: members.clone(),
             own: self.own,
             quarantined: BTreeMap::new(),
-            streams: kept,
+            streams: known_streams,
         };
         tokio::spawn(keeper.run());
         Ok(members)
     }
 }
 
-/// Hands on what other instances tell.
+/// Receives datagrams from other instances and passes on their content.
 struct DatagramReceiver {
-    crash_history: watch::Receiver<crash_history::LocalHistory>,
     anti_entropy: crash_history::AntiEntropy,
+    crash_history: watch::Receiver<crash_history::LocalHistory>,
     driver: Driver,
-    peer_reports: mpsc::UnboundedSender<PeerReport>,
-    /// The most that others let this instance know.
+    /// The newest revisions that other instances have reported.
     newest: KnownState,
+    /// Messages to send to other instances.
+    outgoing: mpsc::UnboundedSender<Message>,
+    peer_reports: mpsc::UnboundedSender<PeerReport>,
     socket: Arc<UdpSocket>,
     streams: watch::Sender<keeper::Streams>,
-    /// What other instances are to be told.
-    outgoing: mpsc::UnboundedSender<Message>,
 }
 
 impl DatagramReceiver {
-    /// Serves for ever.
+    /// Receives datagrams; never returns.
     async fn run(mut self) {
         let mut datagram = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             match self.socket.recv_from(&mut datagram).await {
                 Ok((length, from)) => self.handle(&datagram[..length], from),
-                // An earlier datagram may have met a closed port.
-                Err(error) => debug!("datagram: {error}"),
+                // The operating system reports here that a datagram sent earlier met a closed port.
+                Err(error) => debug!("receiving a datagram: {error}"),
             }
         }
     }
@@ -182,7 +186,7 @@
         let datagram = match peers::Datagram::decode(bytes) {
             Ok(datagram) => datagram,
             Err(error) => {
-                warn!("a datagram can not be read: {error}");
+                warn!("malformed datagram from {from}: {error}");
                 return;
             }
         };
@@ -222,9 +226,12 @@
         let update = datagram.roster.map(decode_roster_update);
         let confirmed = datagram.confirmed.map(decode_confirmed);
         let newest = &mut self.newest;
-        let has_no_payload = update.is_none() && confirmed.is_none();
+        let has_revisions_only = update.is_none() && confirmed.is_none();
         let list = Position::new(datagram.list_era, datagram.list);
-        if has_no_payload && datagram.configuration <= newest.configuration && list <= newest.list {
+        if has_revisions_only
+            && datagram.configuration <= newest.configuration
+            && list <= newest.list
+        {
             return;
         }
         newest.configuration = newest.configuration.max(datagram.configuration);
@@ -235,14 +242,14 @@
             list,
             update,
         };
-        // The task that learns ends only with the instance.
+        // Sending fails only while the instance shuts down.
         let _ = self.peer_reports.send(report);
     }
 }
 
 impl DatagramReceiver {
-    /// Takes in unplanned ends that another instance told, and finds out whether it knows others: a datagram may have been lost,
-    /// or one of the two was cut off or started anew.
+    /// Merges crashes from another instance, and compares digests to detect that the two histories
+    /// differ: a datagram may have been lost, or one of the two was partitioned or restarted.
     fn merge_crashes(
         &mut self,
         crashes: Vec<peers::End>,
@@ -263,47 +270,47 @@
             None
         };
         if let Some(message) = message {
-            // The task that tells ends only with the instance.
+            // Sending fails only while the instance shuts down.
             let _ = self.outgoing.send(message);
         }
     }
 }
 
-/// Tells the core of streams that other instances relay.
+/// Reports to the core the streams that other instances relay.
 pub(crate) fn report_streams(sightings: Vec<peers::Sighting>, driver: &Driver) {
     for sighting in sightings {
         driver.event(Event::PeerStream(decode_sighting(sighting)));
     }
 }
 
-/// Another instance that is told something.
+/// Another instance to which a message is sent.
 #[derive(Clone, Copy, Debug)]
 struct Recipient {
     address: SocketAddr,
-    /// Whether it stands in the same data centre.
+    /// Whether it is in the same data centre.
     is_local: bool,
 }
 
-/// Tells other instances what this one knows.
+/// Sends datagrams to other instances.
 struct DatagramSender {
     crash_history: watch::Receiver<crash_history::LocalHistory>,
-    /// What this instance is asked of each pool.
+    /// Demand at this instance for each pool.
     demands: BTreeMap<Arc<str>, peers::Demand>,
+    /// Engine speeds measured since the last datagram.
+    engine_speeds: Vec<peers::Pace>,
     known: watch::Receiver<KnownState>,
     link_mbps: f64,
     members: watch::Receiver<Members>,
     /// This instance.
     own: Own,
-    /// What streams showed of engines since the last datagram.
-    engine_speeds: Vec<peers::Pace>,
-    /// Pools that are near what they can serve.
+    /// Pools that are near their capacity.
     pools_at_capacity: BTreeSet<Arc<str>>,
     socket: Arc<UdpSocket>,
     streams: watch::Sender<keeper::Streams>,
 }
 
 impl DatagramSender {
-    /// Serves for ever.
+    /// Sends messages until their channel is closed.
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         while let Some(message) = messages.recv().await {
             self.record(&message);
@@ -319,7 +326,7 @@
         }
     }
 
-    /// The unplanned ends that are told, in the chunks in which they are; one empty piece where none are.
+    /// The crashes of a message in chunks, one per datagram; a single empty chunk if it has none.
     fn crash_chunks(&self, message: &Message) -> Vec<Vec<peers::End>> {
         let chunks = match message {
             Message::CrashHistory(_) | Message::CrashHistoryRequest(_) => {
@@ -348,17 +355,18 @@
         }
     }
 
-    /// Sends a datagram. What is lost is told by later ones, or costs a prompt read again.
+    /// Sends a datagram. A loss is made up for by later datagrams, or costs a repeated prefill.
     async fn send(&self, datagram: &[u8], address: SocketAddr) {
         match timeout(SEND_TIMEOUT, self.socket.send_to(datagram, address)).await {
             Ok(Ok(_)) => {}
-            Ok(Err(error)) => debug!("datagram to {address}: {error}"),
-            Err(_) => debug!("datagram to {address}: the link is full"),
+            Ok(Err(error)) => debug!("sending a datagram to {address}: {error}"),
+            Err(_) => debug!("sending a datagram to {address}: send buffer still full"),
         }
     }
 
-    /// The same datagram for another data centre, where bytes are dear: with demands only of pools that are near
-    /// what they can serve. Below that what those of the own data centre tell stands for all.
+    /// The datagram as sent to other data centres, to which traffic is expensive. In a large fleet
+    /// it has demand only for pools near their capacity; for the others, each data centre
+    /// extrapolates from the demand of its own instances.
     fn for_remote(&self, mut datagram: peers::Datagram) -> peers::Datagram {
         if self.members.borrow().len() >= FEW {
             let is_at_capacity =
@@ -368,7 +376,7 @@
         datagram
     }
 
-    /// Keeps what goes along with the next datagrams.
+    /// Records what later datagrams include.
     fn record(&mut self, message: &Message) {
         match message {
             Message::Demand {
@@ -384,31 +392,32 @@
                 self.demands.insert(pool, encode_demand(demand));
             }
             Message::EngineSpeed(speed) if self.engine_speeds.len() < ENGINE_SPEEDS_MAX => {
-                self.engine_speeds.push(encode_engine_speed(speed))
+                self.engine_speeds.push(encode_engine_speed(speed));
             }
             Message::Stream(sighting) => {
                 let sighting = encode_sighting(sighting.clone());
                 self.streams.send_modify(|streams| streams.take(&sighting));
             }
-            Message::CrashHistory(_)
-            | Message::CrashHistoryRequest(_)
-            | Message::Configuration
+            Message::Configuration
             | Message::Confirmed(_)
+            | Message::CrashHistory(_)
+            | Message::CrashHistoryRequest(_)
             | Message::Crashes(_)
-            | Message::UpstreamLeaving(_)
-            | Message::RateLimit { .. }
-            | Message::UpstreamLost(_)
             | Message::EngineSpeed(_)
-            | Message::RosterUpdate(_) => {}
+            | Message::RateLimit { .. }
+            | Message::RosterUpdate(_)
+            | Message::UpstreamLeaving(_)
+            | Message::UpstreamLost(_) => {}
         }
     }
 
-    /// Time that the share of the link that datagrams may take needs for some bytes.
+    /// Time that the link needs for some bytes at the rate allowed for datagrams.
     fn transmission_time(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 * 8.0 / (self.link_mbps * 1e6 * LINK_SHARE))
     }
 
-    /// Who is told. Bytes between data centres are dear.
+    /// The instances to which a message is sent; as few as possible in other data centres, since
+    /// traffic between them is expensive.
     fn recipients(&self, message: &Message) -> Vec<Recipient> {
         let members = self.members.borrow();
         let recipient = |member: &Member| Recipient {
@@ -417,38 +426,42 @@
         };
         let all = members.values().map(recipient);
         match message {
-            Message::CrashHistory(address) | Message::CrashHistoryRequest(address) => {
-                let is_local = false;
-                let address = *address;
-                vec![Recipient { address, is_local }]
+            Message::Configuration
+            | Message::Demand {
+                is_at_capacity: true,
+                ..
             }
+            | Message::RosterUpdate(_) => all.filter(|recipient| recipient.is_local).collect(),
             Message::Confirmed(_) => {
                 let watchers = self.own.watchers(&members);
                 let watchers = watchers.into_iter().filter_map(|name| members.get(name));
                 watchers.map(recipient).collect()
             }
+            Message::CrashHistory(address) | Message::CrashHistoryRequest(address) => {
+                let is_local = false;
+                let address = *address;
+                vec![Recipient { address, is_local }]
+            }
             Message::Demand {
                 is_at_capacity: false,
                 ..
             }
             | Message::EngineSpeed(_) => Vec::new(),
-            Message::Configuration | Message::Demand { .. } | Message::RosterUpdate(_) => {
-                all.filter(|recipient| recipient.is_local).collect()
-            }
-            // That a prompt is read others believe by its age.
+            // In a large fleet, instances infer the end of a prefill from its duration.
             Message::Stream(sighting)
                 if sighting.stage == Stage::Streaming && members.len() >= FEW =>
             {
                 Vec::new()
             }
             Message::Crashes(_)
-            | Message::UpstreamLeaving(_)
             | Message::RateLimit { .. }
-            | Message::UpstreamLost(_)
-            | Message::Stream(_) => all.collect(),
+            | Message::Stream(_)
+            | Message::UpstreamLeaving(_)
+            | Message::UpstreamLost(_) => all.collect(),
         }
     }
 
+    /// The datagram for a message, with all that every datagram includes, but without crashes.
     fn datagram(&mut self, message: Message) -> peers::Datagram {
         let known = *self.known.borrow();
         let mut datagram = peers::Datagram {
@@ -462,35 +475,34 @@
             ..peers::Datagram::default()
         };
         match message {
-            Message::CrashHistory(_)
+            Message::Configuration
+            | Message::CrashHistory(_)
             | Message::CrashHistoryRequest(_)
-            | Message::Configuration
-            | Message::Demand { .. }
             | Message::Crashes(_)
+            | Message::Demand { .. }
             | Message::EngineSpeed(_) => {}
             Message::Confirmed(confirmed) => {
                 datagram.confirmed = Some(encode_confirmed(confirmed));
             }
-            Message::UpstreamLeaving(incarnation) => {
-                datagram.leaving.push(encode_incarnation(incarnation));
-            }
             Message::RateLimit { incarnation, rate } => datagram.limits.push(peers::Limit {
                 life: Some(encode_incarnation(incarnation)),
                 rate: rate.map(|rate| rate.0),
             }),
-            Message::UpstreamLost(incarnation) => {
-                datagram.lost.push(encode_incarnation(incarnation));
-            }
             Message::RosterUpdate(update) => {
                 datagram.roster = Some(encode_roster_update(update));
             }
             Message::Stream(sighting) => datagram.sightings.push(encode_sighting(sighting)),
+            Message::UpstreamLeaving(incarnation) => {
+                datagram.leaving.push(encode_incarnation(incarnation));
+            }
+            Message::UpstreamLost(incarnation) => {
+                datagram.lost.push(encode_incarnation(incarnation));
+            }
         }
         datagram
     }
 }
 
-/// What the store has just shown another instance.
 fn decode_confirmed(confirmed: peers::Confirmed) -> Confirmed {
     let topic = match confirmed.topic() {
         peers::Topic::Configuration => Topic::Configuration,
@@ -514,7 +526,6 @@
     }
 }
 
-/// Changes of the list as another instance tells them.
 fn decode_roster_update(roster: peers::Roster) -> RosterUpdate {
     RosterUpdate {
         outage_ms: roster.away_ms.into(),
@@ -549,7 +560,10 @@
             version: entry.version,
         }),
         Err(error) => {
-            warn!("{name}: `{}` is no address: {error}", entry.address);
+            warn!(
+                "upstream {name}: invalid address `{}`: {error}",
+                entry.address
+            );
             Entry::Invalid
         }
     };
@@ -573,7 +587,6 @@
     }
 }
 
-/// A change as other instances are told it.
 fn encode_change(change: roster::Change) -> peers::Entry {
     let (name, revision) = (change.name, change.position.revision);
     match change.entry {
@@ -606,7 +619,6 @@
     }
 }
 
-/// A life as another instance names it.
 pub(crate) fn decode_incarnation(incarnation: peers::Life) -> Incarnation {
     let peers::Life { born, id } = incarnation;
     Incarnation { id, born }
@@ -617,16 +629,15 @@
     peers::Life { born, id }
 }
 
-/// What another instance is asked of a pool.
 fn decode_demand(demand: peers::Demand) -> Demand {
     Demand {
-        arrival_rate: f64::from(demand.asked) / RATE_SCALE,
+        arrival_rate: f64::from(demand.asked) / RATE_PERIOD_S,
         last_call: demand.last.map(|last| FinishedCall {
             duration_ms: last.millis,
             upstream: last.upstream,
         }),
         pool: demand.pool.into(),
-        retry_rate: f64::from(demand.returned) / RATE_SCALE,
+        retry_rate: f64::from(demand.returned) / RATE_PERIOD_S,
         running: demand.running,
         service_time_ms: f64::from(demand.takes_ms),
     }
@@ -634,19 +645,18 @@
 
 fn encode_demand(demand: &Demand) -> peers::Demand {
     peers::Demand {
-        asked: (demand.arrival_rate * RATE_SCALE).round() as u32,
+        asked: (demand.arrival_rate * RATE_PERIOD_S).round() as u32,
         last: demand.last_call.map(|last| peers::Ended {
             millis: last.duration_ms,
             upstream: last.upstream,
         }),
         pool: demand.pool.to_string(),
-        returned: (demand.retry_rate * RATE_SCALE).round() as u32,
+        returned: (demand.retry_rate * RATE_PERIOD_S).round() as u32,
         running: demand.running,
         takes_ms: demand.service_time_ms.ceil() as u32,
     }
 }
 
-/// How fast another instance saw engines work.
 fn decode_engine_speed(speed: peers::Pace) -> EngineSpeed {
     EngineSpeed {
         event_interval_ms: f64::from(speed.event_us) / MICROS_PER_MS,
@@ -682,7 +692,7 @@
     }
 }
 
-/// A sighting as others are told it. Of a stream that is whole they need to know its prompt only.
+/// Encodes a record of a stream; of a completed one, other instances need only the prompt's hash.
 fn encode_sighting(sighting: Sighting) -> peers::Sighting {
     if sighting.stage == Stage::Ended {
         return peers::Sighting {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,29 +1,29 @@
-//! The operators' calls.
+//! The operators' gRPC interface.
 
 use super::*;
 use schema::operator_server::Operator;
 use tonic::{Code, Status};
 
-/// Longest note of a change in bytes.
+/// Maximum length of a change's note, in bytes.
 const NOTE_BYTES_MAX: usize = 200;
 
-/// Serves operators.
+/// Handles calls of operators.
 pub(crate) struct Service {
+    /// The configuration in force here.
+    pub active_config: watch::Receiver<revision::ActiveConfig>,
+    /// Channel for changes of the configuration.
+    pub config_commands: mpsc::UnboundedSender<revision::Command>,
+    /// Set to true to start a planned stop of the instance.
+    pub drain: watch::Sender<bool>,
     /// The core task.
     pub driver: Driver,
-    /// Told when the instance shall stop as planned.
-    pub drain: watch::Sender<bool>,
-    /// The configuration held here.
-    pub active_config: watch::Receiver<revision::ActiveConfig>,
     /// The platform's list.
     pub list: watch::Receiver<Vec<list::Line>>,
-    /// Where changes are sent.
-    pub config_commands: mpsc::UnboundedSender<revision::Command>,
-    /// Peers heard of.
+    /// Peers that have sent a heartbeat.
     pub peers: watch::Receiver<peer::Peers>,
-    /// Settings.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// Whether this instance was told to stop.
+    /// Whether this instance is stopping.
     pub stopping: Arc<AtomicBool>,
 }
 
@@ -48,7 +48,7 @@
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.strip_prefix("Bearer "))
             .unwrap_or_default();
-        // Digests are compared, so that the time taken tells nothing of the key.
+        // Digests are compared, so that the time of the comparison reveals nothing of the key.
         if blake3::hash(key.as_bytes()) == blake3::hash(self.settings.operator_key.as_bytes()) {
             return Ok(());
         }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,56 +1,57 @@
-//! Links between instances: heartbeats that carry the head of the configuration.
+//! Connections between instances, for heartbeats with the head of the configuration, parts of the
+//! configuration, and forwarded claims.
 
 use super::*;
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 
-/// Time after which a link on which nothing came is given up on, in heartbeats.
+/// Number of heartbeat intervals without a frame after which a connection is closed.
 const MISSED_HEARTBEATS_MAX: u32 = 6;
 
-/// Bytes before each frame that hold its length.
+/// Size of the length prefix of a frame, in bytes.
 const FRAME_LENGTH_BYTES: usize = 4;
 
-/// Time that an instance asked by itself has to answer.
+/// Time within which an instance must answer a single request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Instances asked for parts before the key-value service is.
+/// Number of instances asked for parts before they are read from the key-value service.
 const FETCH_PEERS_MAX: usize = 2;
 
-/// What is known of another instance.
+/// State of another instance, as reported by its heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
-    /// Time of its last heartbeat.
+    /// When its last heartbeat arrived.
     pub last_heartbeat: Instant,
-    /// Revision that it has in force.
+    /// Revision of the configuration in force there; 0 for none.
     pub revision: u64,
 }
 
-/// Peers by name.
+/// Known peers by name.
 pub(crate) type Peers = BTreeMap<String, Peer>;
 
-/// What every link needs.
+/// The connections to other instances, and what each of them needs.
 #[derive(Clone)]
 pub(crate) struct Links {
-    /// Where claims that peers hand on are sent.
+    /// The configuration in force here.
+    pub active_config: watch::Receiver<revision::ActiveConfig>,
+    /// Channel for claims that peers forward.
     pub claims: mpsc::UnboundedSender<claimer::PendingClaim>,
+    /// Channel for heads received from peers.
+    pub config_commands: mpsc::UnboundedSender<revision::Command>,
     /// The core task.
     pub driver: Driver,
-    /// Upstreams that are leaving, to be told to peers.
+    /// Leaving upstreams, announced by heartbeats.
     pub leaving: watch::Receiver<driver::Leaving>,
-    /// The configuration held here.
-    pub active_config: watch::Receiver<revision::ActiveConfig>,
-    /// Where heads that come are sent.
-    pub config_commands: mpsc::UnboundedSender<revision::Command>,
-    /// Peers heard of.
+    /// Peers that have sent a heartbeat.
     pub peers: watch::Sender<Peers>,
-    /// Settings.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// Where frames are counted.
+    /// Counts frames.
     pub traffic: Traffic,
 }
 
 impl Links {
-    /// Accepts links of other instances.
+    /// Accepts connections of other instances.
     pub async fn accept(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -58,14 +59,14 @@
                     tokio::spawn(self.clone().serve(socket));
                 }
                 Err(error) => {
-                    warn!("peer: {error}");
+                    warn!("accepting a connection of a peer: {error}");
                     sleep(Duration::from_millis(self.settings.heartbeat_ms)).await;
                 }
             }
         }
     }
 
-    /// Keeps links to a few other instances.
+    /// Maintains connections to a few other instances.
     pub async fn connect(self, list: watch::Receiver<Vec<list::Line>>) {
         let mut links: HashMap<SocketAddr, JoinHandle<()>> = HashMap::new();
         let mut ticks = interval(Duration::from_millis(self.settings.heartbeat_ms));
@@ -90,39 +91,39 @@
     async fn open(self, address: SocketAddr) {
         match TcpStream::connect(address).await {
             Ok(socket) => self.serve(socket).await,
-            Err(error) => debug!("peer {address}: {error}"),
+            Err(error) => debug!("connecting to peer {address}: {error}"),
         }
     }
 
-    /// Serves one link until it ends; a wrong frame ends it.
+    /// Serves a connection until it ends; closes it on an invalid frame.
     async fn serve(self, socket: TcpStream) {
-        let beat = Duration::from_millis(self.settings.heartbeat_ms);
+        let heartbeat_interval = Duration::from_millis(self.settings.heartbeat_ms);
         let mut active_config = self.active_config.clone();
         let mut leaving = self.leaving.clone();
         let (answers, mut answered) = mpsc::unbounded_channel();
         let _ = socket.set_nodelay(true);
         let mut frames = Framed::new(socket, frame::Codec::new());
-        let mut last = Instant::now();
+        let mut last_frame = Instant::now();
         let mut known = 0;
-        let mut ticks = interval(beat);
+        let mut ticks = interval(heartbeat_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        while last.elapsed() < beat * MISSED_HEARTBEATS_MAX {
+        while last_frame.elapsed() < heartbeat_interval * MISSED_HEARTBEATS_MAX {
             tokio::select! {
                 frame = frames.next() => match frame {
                     Some(Ok(frame)) => {
-                        last = Instant::now();
+                        last_frame = Instant::now();
                         self.traffic.count(FRAME_LENGTH_BYTES + frame.encoded_len());
-                        if let Some(peers::frame::Body::Heartbeat(beat)) = &frame.body {
-                            known = beat.revision;
+                        if let Some(peers::frame::Body::Heartbeat(heartbeat)) = &frame.body {
+                            known = heartbeat.revision;
                         }
                         if !self.handle(frame, &answers) {
-                            warn!("peer: a frame holds what it may not");
+                            warn!("closing a connection to a peer: invalid frame");
                             return;
                         }
                         continue;
                     }
                     Some(Err(error)) => {
-                        warn!("peer: {error}");
+                        warn!("reading from a peer: {error}");
                         return;
                     }
                     None => return,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// A heartbeat for a peer that is known to have revision `known`.
+    /// A heartbeat for a peer with revision `known`; includes the head only if that is older.
     fn heartbeat(
         &self,
         active: &revision::ActiveConfig,
@@ -174,11 +175,11 @@
         peers::Frame { body: Some(body) }
     }
 
-    /// Takes in a frame; false if it holds what it may not.
+    /// Handles a frame; returns false if it is invalid.
     fn handle(&self, frame: peers::Frame, answers: &mpsc::UnboundedSender<peers::Frame>) -> bool {
         match frame.body {
             Some(peers::frame::Body::ClaimBatch(batch)) => self.handle_claims(&batch, answers),
-            Some(peers::frame::Body::Heartbeat(beat)) => self.handle_heartbeat(beat),
+            Some(peers::frame::Body::Heartbeat(heartbeat)) => self.handle_heartbeat(heartbeat),
             Some(peers::frame::Body::PartRequest(request)) => {
                 let parts = self.active_config.borrow().parts.clone();
                 let found = request
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Has claims committed that a peer handed on, and answers when all are settled.
+    /// Commits claims that a peer forwarded, and answers when all have an outcome.
     fn handle_claims(
         &self,
         batch: &peers::ClaimBatch,
@@ -220,32 +221,32 @@
             .collect();
         let (id, answers) = (batch.id, answers.clone());
         tokio::spawn(async move {
-            let mut settled = Vec::with_capacity(outcomes.len());
+            let mut encoded = Vec::with_capacity(outcomes.len());
             for outcome in outcomes {
                 let outcome = outcome.await.unwrap_or(ClaimOutcome::Unavailable);
-                settled.push(forwarder::encode_outcome(outcome));
+                encoded.push(forwarder::encode_outcome(outcome));
             }
             let body = peers::frame::Body::ClaimOutcomes(peers::ClaimOutcomes {
                 id,
-                outcomes: settled,
+                outcomes: encoded,
             });
             let _ = answers.send(peers::Frame { body: Some(body) });
         });
         true
     }
 
-    fn handle_heartbeat(&self, beat: peers::Heartbeat) -> bool {
-        let Ok(head) = Head::decode(&beat.head[..]) else {
+    fn handle_heartbeat(&self, heartbeat: peers::Heartbeat) -> bool {
+        let Ok(head) = Head::decode(&heartbeat.head[..]) else {
             return false;
         };
         let peer = Peer {
             last_heartbeat: Instant::now(),
-            revision: beat.revision,
+            revision: heartbeat.revision,
         };
         self.peers.send_modify(|peers| {
-            peers.insert(beat.instance, peer);
+            peers.insert(heartbeat.instance, peer);
         });
-        for name in beat.leaving {
+        for name in heartbeat.leaving {
             self.driver.event(Event::Leaving(name));
         }
         if head.revision > self.active_config.borrow().head.revision {
@@ -254,7 +255,8 @@
         true
     }
 
-    /// Addresses to link to: those ranked first by a hash of both names, so that links are spread.
+    /// Addresses to connect to: those ranked first by a hash of both names, which spreads the
+    /// connections evenly.
     fn link_targets(&self, list: &[list::Line]) -> HashSet<SocketAddr> {
         let own = &self.settings.instance;
         let mut others: Vec<&list::Line> = list
@@ -271,7 +273,8 @@
     }
 }
 
-/// Asks a few instances for parts of the configuration; those that come first are taken.
+/// Requests parts of the configuration from random instances, one after another; returns those of
+/// the last answer. Stops at an answer with as many parts as requested.
 pub(crate) async fn fetch_parts(list: &[list::Line], digests: &[Vec<u8>]) -> Vec<Bytes> {
     let mut instances: Vec<&list::Line> = list
         .iter()
@@ -283,11 +286,11 @@
         let body = peers::frame::Body::PartRequest(peers::PartRequest {
             digests: digests.to_vec(),
         });
-        let asked = request(peer.address, body, |body| match body {
+        let response = request(peer.address, body, |body| match body {
             peers::frame::Body::Parts(parts) => Some(parts.parts),
             _ => None,
         });
-        if let Ok(Some(parts)) = timeout(REQUEST_TIMEOUT, asked).await {
+        if let Ok(Some(parts)) = timeout(REQUEST_TIMEOUT, response).await {
             found = parts.into_iter().map(Bytes::from).collect();
         }
         if found.len() == digests.len() {
@@ -297,18 +300,18 @@
     found
 }
 
-/// Asks every instance on the list for the revision that it has in force.
+/// Requests from every listed instance the revision in force there.
 pub(crate) async fn fetch_revisions(list: &[list::Line]) -> Vec<schema::PeerState> {
-    let asked = list
+    let states = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
         .map(async |line| {
             let body = peers::frame::Body::PartRequest(peers::PartRequest::default());
-            let heard = request(line.address, body, |body| match body {
-                peers::frame::Body::Heartbeat(beat) => Some(beat.revision),
+            let response = request(line.address, body, |body| match body {
+                peers::frame::Body::Heartbeat(heartbeat) => Some(heartbeat.revision),
                 _ => None,
             });
-            let revision = timeout(REQUEST_TIMEOUT, heard).await.ok().flatten();
+            let revision = timeout(REQUEST_TIMEOUT, response).await.ok().flatten();
             schema::PeerState {
                 name: line.instance.clone(),
                 reachable: revision.is_some(),
@@ -316,21 +319,21 @@
                 silent_ms: 0,
             }
         });
-    futures_util::future::join_all(asked).await
+    futures_util::future::join_all(states).await
 }
 
-/// Sends one frame to an instance and waits for the answer that `take` takes.
+/// Sends one frame to an instance and waits for the first answer that `decode` accepts.
 async fn request<T>(
     address: SocketAddr,
     body: peers::frame::Body,
-    take: impl Fn(peers::frame::Body) -> Option<T>,
+    decode: impl Fn(peers::frame::Body) -> Option<T>,
 ) -> Option<T> {
     let socket = TcpStream::connect(address).await.ok()?;
     let mut frames = Framed::new(socket, frame::Codec::new());
     let frame = peers::Frame { body: Some(body) };
     frames.send(frame).await.ok()?;
     while let Some(Ok(frame)) = frames.next().await {
-        if let Some(answer) = frame.body.and_then(&take) {
+        if let Some(answer) = frame.body.and_then(&decode) {
             return Some(answer);
         }
     }
--- a/crates/node/src/revision.rs
+++ b/crates/node/src/revision.rs
@@ -1,60 +1,60 @@
-//! The configuration in force: accepted by compare-and-swap of its head, spread by watches and
-//! heartbeats, never going to a lower revision.
+//! The configuration in force. A change is accepted by compare-and-swap of the head and propagates by
+//! watches and heartbeats; the revision in force never decreases.
 
 use super::*;
 use std::collections::hash_map::Entry;
 
-/// Key of the head.
+/// Key of the head in the key-value service.
 const HEAD_KEY: &str = "wellplank/head";
 
-/// Changes that a head remembers.
+/// Maximum number of changes listed in a head.
 const CHANGES_MAX: usize = 16;
 
-/// Instances per data centre that keep a watch.
+/// Number of instances per data centre that watch the head.
 const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Time between two tries to watch.
+/// Time between two attempts to watch the head, to read the first one, or to apply a change.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which the head is read though nothing was heard.
+/// Interval at which the head is read even if no change was reported.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Tries to settle a change whose answer was lost.
+/// Attempts to apply a change; they resolve the outcome of one whose answer was lost.
 const APPLY_ATTEMPTS: usize = 20;
 
-/// The configuration that an instance holds.
+/// The configuration in force at an instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveConfig {
-    /// What operators declared.
+    /// The declaration, joined from all parts.
     pub declaration: schema::Declaration,
-    /// Its head.
+    /// Its head; revision 0 before there is a configuration.
     pub head: Head,
-    /// Its encoded parts by their digests.
+    /// Its encoded parts by digest.
     pub parts: Arc<HashMap<Vec<u8>, Bytes>>,
 }
 
-/// What the task is told.
+/// A command to the configuration task.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// An operator's change.
+    /// Apply an operator's change.
     Apply(
         schema::ApplyRequest,
         oneshot::Sender<Result<schema::ApplyReply, Error>>,
     ),
-    /// A head, by a watch or a peer.
+    /// Put a head from a watch or a peer in force, if it is newer.
     Head(Head),
-    /// Read the head.
+    /// Read the head from the key-value service.
     Read,
 }
 
-/// What the task owns.
+/// The task that applies changes and puts new revisions in force.
 pub(crate) struct Task {
+    /// Publishes the configuration in force.
+    pub active_config: watch::Sender<ActiveConfig>,
     /// The clock of the instance.
     pub clock: Clock,
     /// The core task.
     pub driver: Driver,
-    /// Where the configuration is held.
-    pub active_config: watch::Sender<ActiveConfig>,
     /// The platform's list.
     pub list: watch::Receiver<Vec<list::Line>>,
     /// The key-value service.
@@ -62,7 +62,7 @@
 }
 
 impl Task {
-    /// Serves commands until the instance ends.
+    /// Handles commands until the instance stops.
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         while let Some(command) = commands.recv().await {
             match command {
@@ -84,11 +84,11 @@
 
     async fn adopt_or_warn(&mut self, head: Head) {
         if let Err(error) = self.adopt(head).await {
-            warn!("configuration: {error}");
+            warn!("putting a configuration in force: {error}");
         }
     }
 
-    /// Takes a head into force if it is newer than the one held.
+    /// Puts a head in force if it is newer than the current one.
     async fn adopt(&mut self, head: Head) -> Result<(), Error> {
         let current = self.active_config.borrow().head.revision;
         if head.revision <= current {
@@ -101,7 +101,9 @@
             .filter_map(|part| schema::Declaration::decode(parts.get(&part.digest)?.clone()).ok())
             .collect();
         if declarations.len() != head.parts.len() {
-            return Err(Error::Store("a part is no declaration".into()));
+            return Err(Error::Store(
+                "a part of the configuration is malformed".into(),
+            ));
         }
         let declaration = declaration::join(declarations.iter());
         let config = declaration::compile(&declaration, head.revision);
@@ -116,14 +118,14 @@
         Ok(())
     }
 
-    /// The parts of a head: those held, then those that peers have, then the rest from the
+    /// Collects the parts of a head: those held here, then those of peers, and only the rest from the
     /// key-value service, which may be down.
     async fn collect_parts(&self, head: &Head) -> Result<HashMap<Vec<u8>, Bytes>, Error> {
-        let held = self.active_config.borrow().parts.clone();
+        let local = self.active_config.borrow().parts.clone();
         let mut parts = HashMap::new();
         let mut missing = Vec::new();
         for part in &head.parts {
-            match held.get(&part.digest) {
+            match local.get(&part.digest) {
                 Some(bytes) => {
                     parts.insert(part.digest.clone(), bytes.clone());
                 }
@@ -145,7 +147,7 @@
         Ok(parts)
     }
 
-    /// Accepts a change: writes its parts, then swaps the head.
+    /// Applies a change: writes its parts, then swaps the head.
     async fn apply(&mut self, request: schema::ApplyRequest) -> Result<schema::ApplyReply, Error> {
         let declaration = request.declaration.unwrap_or_default();
         let faults = declaration::check(&declaration);
@@ -163,14 +165,14 @@
             ..Default::default()
         };
         for _ in 0..APPLY_ATTEMPTS {
-            let tried = self
+            let attempt = self
                 .try_apply(&declaration, request.expect_revision, &change)
                 .await;
-            match tried {
+            match attempt {
                 Ok(Some(reply)) => return Ok(reply),
                 Ok(None) => {}
                 Err(error) => {
-                    warn!("apply: {error}");
+                    warn!("applying a change: {error}");
                     sleep(RETRY_INTERVAL).await;
                 }
             }
@@ -180,7 +182,7 @@
         ))
     }
 
-    /// One try to accept a change; `None` if another one came in between and any may win.
+    /// One attempt to apply a change; `None` if another one came first and it is to be repeated.
     async fn try_apply(
         &mut self,
         declaration: &schema::Declaration,
@@ -196,12 +198,13 @@
         let entry = self.store.get(&key).await?;
         let entry = entry.ok_or_else(|| Error::Store(format!("{key} is missing")))?;
         if blake3::hash(&entry.value).as_bytes() != digest {
-            return Err(Error::Store(format!("{key} has another digest")));
+            return Err(Error::Store(format!("{key} does not match its digest")));
         }
         Ok(entry.value.into())
     }
 
-    /// One try to swap the head; `None` if another change came in between and any may win.
+    /// One attempt to swap the head; `None` if another change came first. Replies with a conflict if
+    /// the head does not have the expected revision.
     async fn swap_head(
         &mut self,
         parts: &[peers::Part],
@@ -275,8 +278,7 @@
     }
 }
 
-/// Keeps a watch on the head if this instance is one of the few that do, and has the head read now
-/// and then in any case.
+/// Watches the head if this instance is one of the few that do; reads it periodically in any case.
 pub(crate) async fn watch_head(
     settings: Settings,
     store: Store,
@@ -286,23 +288,23 @@
 ) {
     loop {
         if is_watcher(&settings, &list.borrow()) {
-            // A change before the watch began is found by the read when it has begun.
-            let seen = store.watch(HEAD_KEY, |seen| match seen {
+            // The read after the watch was created finds changes made before it.
+            let watch = store.watch(HEAD_KEY, |event| match event {
                 store::Seen::Changed(entry) => forward_head(&commands, &entry),
                 store::Seen::Created => {
                     let _ = commands.send(Command::Read);
                 }
             });
             tokio::select! {
-                _ = timeout(POLL_INTERVAL, seen) => {}
+                _ = timeout(POLL_INTERVAL, watch) => {}
                 _ = list.wait_for(|list| !is_watcher(&settings, list)) => {}
             }
             sleep(RETRY_INTERVAL).await;
         } else {
             let _ = commands.send(Command::Read);
-            let known = active_config.borrow().head.revision > 0;
+            let has_config = active_config.borrow().head.revision > 0;
             tokio::select! {
-                () = sleep(if known { POLL_INTERVAL } else { RETRY_INTERVAL }) => {}
+                () = sleep(if has_config { POLL_INTERVAL } else { RETRY_INTERVAL }) => {}
                 _ = list.wait_for(|list| is_watcher(&settings, list)) => {}
             }
         }
@@ -318,7 +320,7 @@
         Ok(head) => {
             let _ = commands.send(Command::Head(head));
         }
-        Err(error) => warn!("head: {error}"),
+        Err(error) => warn!("malformed head of the configuration: {error}"),
     }
 }
 
@@ -329,7 +331,7 @@
     format!("wellplank/part/{digest}")
 }
 
-/// Whether this instance is one of those that watch for its data centre; not before it is listed.
+/// Whether this instance watches the head for its data centre; never before it is listed.
 fn is_watcher(settings: &Settings, list: &[list::Line]) -> bool {
     let mut names: Vec<&str> = list
         .iter()
--- a/crates/node/tests/declaration.rs
+++ b/crates/node/tests/declaration.rs
@@ -1,4 +1,4 @@
-//! Declarations: faults with their places, and parts.
+//! Checks of declarations, the places of their faults, and their parts.
 
 use {
     googletest::prelude::*,
@@ -42,20 +42,20 @@
 }
 
 #[gtest]
-fn right_declaration_has_no_fault() {
+fn valid_declaration_has_no_faults() {
     expect_that!(places(&declaration()), is_empty());
 }
 
 #[gtest]
-fn every_fault_is_named_with_its_place() {
-    let mut wrong = declaration();
-    wrong.customers[0].weight = 0;
-    wrong.customers[1].key_digest = "no".into();
-    wrong.customers[2].name = "mill-3".into();
-    wrong.services[0].adapter = "none".into();
-    wrong.services[0].deadline_ms = 0;
+fn all_faults_are_reported_with_their_places() {
+    let mut invalid = declaration();
+    invalid.customers[0].weight = 0;
+    invalid.customers[1].key_digest = "no".into();
+    invalid.customers[2].name = "mill-3".into();
+    invalid.services[0].adapter = "none".into();
+    invalid.services[0].deadline_ms = 0;
     expect_that!(
-        places(&wrong),
+        places(&invalid),
         unordered_elements_are![
             eq("customers[0].weight"),
             eq("customers[1].key_digest"),
@@ -67,59 +67,60 @@
 }
 
 #[gtest]
-fn removed_model_still_used_is_a_fault() {
-    let mut wrong = declaration();
-    wrong.models.clear();
-    expect_that!(places(&wrong), contains(eq("services[0].model")));
+fn service_of_a_removed_model_is_a_fault() {
+    let mut invalid = declaration();
+    invalid.models.clear();
+    expect_that!(places(&invalid), contains(eq("services[0].model")));
 }
 
 #[gtest]
-fn removed_service_still_allowed_is_a_fault() {
-    let mut wrong = declaration();
-    wrong.services.clear();
-    expect_that!(places(&wrong).len(), eq(50));
+fn allowing_a_removed_service_is_a_fault() {
+    let mut invalid = declaration();
+    invalid.services.clear();
+    expect_that!(places(&invalid).len(), eq(50));
 }
 
 #[gtest]
 fn service_with_model_and_pool_is_a_fault() {
-    let mut wrong = declaration();
-    wrong.services[0].pool = "yard".into();
-    expect_that!(places(&wrong), elements_are![eq("services[0].model")]);
+    let mut invalid = declaration();
+    invalid.services[0].pool = "yard".into();
+    expect_that!(places(&invalid), elements_are![eq("services[0].model")]);
 }
 
 #[gtest]
-fn parts_join_to_the_whole() {
-    let whole = declaration();
-    let mut joined = declaration::join(declaration::split(&whole).iter());
+fn joined_parts_equal_the_declaration() {
+    let original = declaration();
+    let mut joined = declaration::join(declaration::split(&original).iter());
     joined.customers.sort_by_key(|customer| {
-        whole
+        original
             .customers
             .iter()
             .position(|other| other.name == customer.name)
     });
-    expect_that!(joined, eq(&whole));
+    expect_that!(joined, eq(&original));
 }
 
 #[gtest]
-fn change_of_one_customer_changes_one_part() {
+fn changing_one_customer_changes_one_part() {
     let before = declaration::split(&declaration());
     let mut changed = declaration();
     changed.customers[7].weight = 9;
     let after = declaration::split(&changed);
-    let new = after.iter().filter(|part| !before.contains(part)).count();
-    expect_that!(new, eq(1));
+    let changed_parts = after.iter().filter(|part| !before.contains(part)).count();
+    expect_that!(changed_parts, eq(1));
 }
 
 #[gtest]
-fn declaration_is_json_with_names_and_without_foreign_fields() {
+fn json_has_enum_names_and_no_unknown_fields() {
     let text = json!({ "services": [{ "name": "a", "policy": "latency" }] }).to_string();
-    let read: Declaration = serde_json::from_str(&text).unwrap();
-    expect_that!(read.services[0].policy, eq(1));
-    let foreign = serde_json::from_str::<Declaration>(r#"{"modles":[]}"#);
-    expect_that!(foreign.is_err(), eq(true));
-    let value = serde_json::from_str::<Declaration>(r#"{"services":[{"policy":"fast"}]}"#);
+    let parsed: Declaration = serde_json::from_str(&text).unwrap();
+    expect_that!(parsed.services[0].policy, eq(1));
+    let unknown_field = serde_json::from_str::<Declaration>(r#"{"modles":[]}"#);
+    expect_that!(unknown_field.is_err(), eq(true));
+    let unknown_variant =
+        serde_json::from_str::<Declaration>(r#"{"services":[{"policy":"fast"}]}"#);
     expect_that!(
-        value.unwrap_err().to_string(),
+        unknown_variant.unwrap_err().to_string(),
         contains_substring("unknown variant `fast`, expected `latency` or `resources`")
     );
 }
