--- a/crates/node/src/claimer.rs
+++ b/crates/node/src/claimer.rs
@@ -15,10 +15,10 @@
 /// Recipient of the outcome of a claim.
 #[derive(Debug)]
 pub(crate) enum ReplyTo {
-    /// A request of this instance.
-    Request(request::Key),
     /// The connection of the instance that forwarded the claim.
     Peer(oneshot::Sender<ClaimOutcome>),
+    /// A request of this instance.
+    Request(request::Key),
 }
 
 /// A claim to be committed.
@@ -46,10 +46,10 @@
     /// Reports the outcome to the recipient.
     pub fn complete(self, driver: &Driver, outcome: ClaimOutcome) {
         match self.reply_to {
-            ReplyTo::Request(request) => driver.event(Event::Claimed { outcome, request }),
             ReplyTo::Peer(sender) => {
                 let _ = sender.send(outcome);
             }
+            ReplyTo::Request(request) => driver.event(Event::Claimed { outcome, request }),
         }
     }
 }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -315,10 +315,7 @@
                 self.reply(caller, reply);
             }
             Effect::GossipDemand { demand, pressed } => {
-                self.tell_others(gossip::Message::Demand {
-                    demand,
-                    is_at_capacity: pressed,
-                });
+                self.tell_others(gossip::Message::Demand { demand, pressed });
             }
             Effect::Detach(attempt) => self.abort(attempt),
             Effect::Fail {
@@ -340,10 +337,7 @@
             Effect::GossipLeaving { life, upstream } => self.leaves(life, &upstream),
             Effect::LogRequest(note) => note::write(&note),
             Effect::GossipLimit { life, rate } => {
-                self.tell_others(gossip::Message::RateLimit {
-                    incarnation: life,
-                    rate,
-                });
+                self.tell_others(gossip::Message::RateLimit { life, rate });
             }
             Effect::ForwardHead(caller) => {
                 if let Some(Held::Head(head)) = self.take_held(caller) {
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -57,14 +57,14 @@
         /// The demand at this instance.
         demand: Demand,
         /// Whether the pool is near its capacity.
-        is_at_capacity: bool,
+        pressed: bool,
     },
     /// How fast the engines of a pool work. Included in the next datagram.
     EngineSpeed(EngineSpeed),
     /// An upstream set a rate limit, or no longer sets one.
     RateLimit {
         /// The upstream.
-        incarnation: Incarnation,
+        life: Incarnation,
         /// The limit for all instances together; `None` if there is none any more.
         rate: Option<Rate>,
     },
@@ -379,12 +379,9 @@
     /// Records what later datagrams include.
     fn record(&mut self, message: &Message) {
         match message {
-            Message::Demand {
-                demand,
-                is_at_capacity,
-            } => {
+            Message::Demand { demand, pressed } => {
                 let pool = demand.pool.clone();
-                if *is_at_capacity {
+                if *pressed {
                     self.pools_at_capacity.insert(pool.clone());
                 } else {
                     self.pools_at_capacity.remove(&pool);
@@ -427,10 +424,7 @@
         let all = members.values().map(recipient);
         match message {
             Message::Configuration
-            | Message::Demand {
-                is_at_capacity: true,
-                ..
-            }
+            | Message::Demand { pressed: true, .. }
             | Message::RosterUpdate(_) => all.filter(|recipient| recipient.is_local).collect(),
             Message::Confirmed(_) => {
                 let watchers = self.own.watchers(&members);
@@ -442,11 +436,7 @@
                 let address = *address;
                 vec![Recipient { address, is_local }]
             }
-            Message::Demand {
-                is_at_capacity: false,
-                ..
-            }
-            | Message::EngineSpeed(_) => Vec::new(),
+            Message::Demand { pressed: false, .. } | Message::EngineSpeed(_) => Vec::new(),
             // In a large fleet, instances infer the end of a prefill from its duration.
             Message::Stream(sighting)
                 if sighting.stage == Stage::Streaming && members.len() >= FEW =>
@@ -484,8 +474,8 @@
             Message::Confirmed(confirmed) => {
                 datagram.confirmed = Some(encode_confirmed(confirmed));
             }
-            Message::RateLimit { incarnation, rate } => datagram.limits.push(peers::Limit {
-                life: Some(encode_incarnation(incarnation)),
+            Message::RateLimit { life, rate } => datagram.limits.push(peers::Limit {
+                life: Some(encode_incarnation(life)),
                 rate: rate.map(|rate| rate.0),
             }),
             Message::RosterUpdate(update) => {
