--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -49,7 +49,7 @@
     CrashHistory(SocketAddr),
     /// A request for the whole crash history of another instance, which gets that of this one.
     CrashHistoryRequest(SocketAddr),
-    /// New crashes of upstreams.
+    /// Changes of the crash history: new crashes, and requests cleared of them.
     Crashes(CrashHistory),
     /// Demand for a pool. Later datagrams include it; if the pool is near its capacity, it is also
     /// sent at once within the data centre.
@@ -192,8 +192,8 @@
         };
         if !datagram.sightings.is_empty() {
             self.streams.send_modify(|streams| {
-                for sighting in &datagram.sightings {
-                    streams.take(sighting);
+                for record in &datagram.sightings {
+                    streams.take(record);
                 }
             });
             report_streams(datagram.sightings, &self.driver);
@@ -277,9 +277,9 @@
 }
 
 /// Reports to the core the streams that other instances relay.
-pub(crate) fn report_streams(sightings: Vec<peers::Sighting>, driver: &Driver) {
-    for sighting in sightings {
-        driver.event(Event::PeerStream(decode_sighting(sighting)));
+pub(crate) fn report_streams(records: Vec<peers::Sighting>, driver: &Driver) {
+    for record in records {
+        driver.event(Event::PeerStream(decode_stream_record(record)));
     }
 }
 
@@ -313,7 +313,7 @@
     /// Sends messages until their channel is closed.
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         while let Some(message) = messages.recv().await {
-            self.record(&message);
+            self.update_state(&message);
             let to = self.recipients(&message);
             if to.is_empty() {
                 continue;
@@ -376,8 +376,8 @@
         datagram
     }
 
-    /// Records what later datagrams include.
-    fn record(&mut self, message: &Message) {
+    /// Updates the state that later datagrams include.
+    fn update_state(&mut self, message: &Message) {
         match message {
             Message::Demand { demand, pressed } => {
                 let pool = demand.pool.clone();
@@ -391,9 +391,9 @@
             Message::EngineSpeed(speed) if self.engine_speeds.len() < ENGINE_SPEEDS_MAX => {
                 self.engine_speeds.push(encode_engine_speed(speed));
             }
-            Message::Stream(sighting) => {
-                let sighting = encode_sighting(sighting.clone());
-                self.streams.send_modify(|streams| streams.take(&sighting));
+            Message::Stream(record) => {
+                let record = encode_stream_record(record.clone());
+                self.streams.send_modify(|streams| streams.take(&record));
             }
             Message::Configuration
             | Message::Confirmed(_)
@@ -438,9 +438,7 @@
             }
             Message::Demand { pressed: false, .. } | Message::EngineSpeed(_) => Vec::new(),
             // In a large fleet, instances infer the end of a prefill from its duration.
-            Message::Stream(sighting)
-                if sighting.stage == Stage::Streaming && members.len() >= FEW =>
-            {
+            Message::Stream(record) if record.stage == Stage::Streaming && members.len() >= FEW => {
                 Vec::new()
             }
             Message::Crashes(_)
@@ -481,7 +479,7 @@
             Message::RosterUpdate(update) => {
                 datagram.roster = Some(encode_roster_update(update));
             }
-            Message::Stream(sighting) => datagram.sightings.push(encode_sighting(sighting)),
+            Message::Stream(record) => datagram.sightings.push(encode_stream_record(record)),
             Message::UpstreamLeaving(incarnation) => {
                 datagram.leaving.push(encode_incarnation(incarnation));
             }
@@ -663,8 +661,8 @@
     }
 }
 
-fn decode_sighting(sighting: peers::Sighting) -> Sighting {
-    let stage = match sighting.stage() {
+fn decode_stream_record(record: peers::Sighting) -> Sighting {
+    let stage = match record.stage() {
         peers::Stage::Ended => Stage::Ended,
         peers::Stage::Left => Stage::Left,
         peers::Stage::Started => Stage::Started,
@@ -672,25 +670,25 @@
         peers::Stage::Waiting => Stage::Waiting,
     };
     Sighting {
-        backup: sighting.backup.map(decode_incarnation),
-        pool: sighting.pool,
-        prompt: sighting.prompt,
-        run: sighting.run,
+        backup: record.backup.map(decode_incarnation),
+        pool: record.pool,
+        prompt: record.prompt,
+        run: record.run,
         stage,
-        tokens: sighting.tokens,
-        upstream: sighting.upstream.map(decode_incarnation),
+        tokens: record.tokens,
+        upstream: record.upstream.map(decode_incarnation),
     }
 }
 
 /// Encodes a record of a stream; of a completed one, other instances need only the prompt's hash.
-fn encode_sighting(sighting: Sighting) -> peers::Sighting {
-    if sighting.stage == Stage::Ended {
+fn encode_stream_record(record: Sighting) -> peers::Sighting {
+    if record.stage == Stage::Ended {
         return peers::Sighting {
-            prompt: sighting.prompt,
+            prompt: record.prompt,
             ..peers::Sighting::default()
         };
     }
-    let stage = match sighting.stage {
+    let stage = match record.stage {
         Stage::Ended => peers::Stage::Ended,
         Stage::Left => peers::Stage::Left,
         Stage::Started => peers::Stage::Started,
@@ -698,12 +696,12 @@
         Stage::Waiting => peers::Stage::Waiting,
     };
     peers::Sighting {
-        backup: sighting.backup.map(encode_incarnation),
-        pool: sighting.pool,
-        prompt: sighting.prompt,
-        run: sighting.run,
+        backup: record.backup.map(encode_incarnation),
+        pool: record.pool,
+        prompt: record.prompt,
+        run: record.run,
         stage: stage.into(),
-        tokens: sighting.tokens,
-        upstream: sighting.upstream.map(encode_incarnation),
+        tokens: record.tokens,
+        upstream: record.upstream.map(encode_incarnation),
     }
 }
