--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -83,7 +83,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         if !self.ended {
-            self.driver.event(Event::CallerGone(self.caller));
+            self.driver.send_event(Event::CallerGone(self.caller));
         }
     }
 }
@@ -178,7 +178,7 @@
     async fn handle(&self, response: &mut salvo::Response) {
         let configured = self.driver.status().await.revision.is_some();
         let ready = configured && !self.stopping.load(Ordering::Relaxed);
-        write_ready(response, ready);
+        write_readiness(response, ready);
     }
 }
 
@@ -229,11 +229,14 @@
     if let Some(millis) = retry_after_ms {
         let _ = response.add_header(header::RETRY_AFTER, millis.div_ceil(1000), true);
     }
-    write_json(response, &answer::error(kind, retry_after_ms));
+    write_json(
+        response,
+        &completion_response::error_body(kind, retry_after_ms),
+    );
 }
 
 /// Says whether new callers shall be sent here.
-pub(crate) fn write_ready(response: &mut salvo::Response, ready: bool) {
+pub(crate) fn write_readiness(response: &mut salvo::Response, ready: bool) {
     let (status, text) = if ready {
         (StatusCode::OK, "ready\n")
     } else {
--- a/crates/node/src/forwarder.rs
+++ b/crates/node/src/claim_forwarder.rs
@@ -17,7 +17,7 @@
 type Link = Framed<TcpStream, frame::Codec>;
 
 /// Hands claims on to one owner.
-pub(crate) struct Forwarder {
+pub(crate) struct ClaimForwarder {
     back: mpsc::UnboundedSender<claimer::Order>,
     driver: Driver,
     next: u64,
@@ -31,7 +31,7 @@
     sent: Instant,
 }
 
-impl Forwarder {
+impl ClaimForwarder {
     /// A forwarder to the instance that listens for peers at `owner`; claims that it can not settle
     /// go `back`.
     pub fn new(
@@ -111,7 +111,10 @@
 
     fn batch(&mut self, orders: Vec<claimer::Order>) -> peers::Frame {
         self.next += 1;
-        let claims = orders.iter().map(|order| encode(&order.claim)).collect();
+        let claims = orders
+            .iter()
+            .map(|order| encode_claim(&order.claim))
+            .collect();
         let batch = Batch {
             orders,
             sent: Instant::now(),
@@ -143,7 +146,7 @@
 }
 
 /// A claim as a frame carried it; `None` if it is none.
-pub(crate) fn decode(claim: &peers::Claim) -> Option<Claim> {
+pub(crate) fn decode_claim(claim: &peers::Claim) -> Option<Claim> {
     Some(Claim {
         fingerprint: claim.fingerprint,
         key: u128::from_le_bytes(claim.key.as_slice().try_into().ok()?),
@@ -175,7 +178,7 @@
     }
 }
 
-fn encode(claim: &Claim) -> peers::Claim {
+fn encode_claim(claim: &Claim) -> peers::Claim {
     peers::Claim {
         fingerprint: claim.fingerprint,
         key: claim.key.to_le_bytes().to_vec(),
--- a/crates/node/src/claimer.rs
+++ b/crates/node/src/claimer.rs
@@ -45,7 +45,7 @@
     /// Tells whoever waits.
     pub fn settle(self, driver: &Driver, outcome: ClaimOutcome) {
         match self.settle {
-            Settle::Here(request) => driver.event(Event::Claimed { outcome, request }),
+            Settle::Here(request) => driver.send_event(Event::Claimed { outcome, request }),
             Settle::There(sender) => {
                 let _ = sender.send(outcome);
             }
@@ -104,7 +104,8 @@
 
     fn forward(&self, owner: SocketAddr) -> mpsc::UnboundedSender<Order> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        let forwarder = forwarder::Forwarder::new(owner, self.orders.clone(), self.driver.clone());
+        let forwarder =
+            claim_forwarder::ClaimForwarder::new(owner, self.orders.clone(), self.driver.clone());
         tokio::spawn(forwarder.run(receiver));
         sender
     }
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/completion_response.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 /// What one answer needs in each of its events.
-pub(crate) struct Answer {
+pub(crate) struct ResponseEncoder {
     /// Identity of the generation.
     pub generation: String,
     /// Service, as the caller named it.
     pub service: String,
 }
 
-impl Answer {
+impl ResponseEncoder {
     /// The event that carries tokens.
     fn chunk(&self, pieces: &[OutputToken], position: u32) -> Value {
         let text: String = pieces.iter().map(|piece| piece.text.as_str()).collect();
@@ -87,7 +87,7 @@
 }
 
 /// An error as JSON.
-pub(crate) fn error(kind: Kind, retry_after_ms: Option<u64>) -> Value {
+pub(crate) fn error_body(kind: Kind, retry_after_ms: Option<u64>) -> Value {
     let answer = kind.answer();
     json!({
         "error": {
@@ -105,5 +105,7 @@
 
 fn error_event(kind: Kind, retry_after_ms: Option<u64>) -> Bytes {
     let event = Sse::default().event("error");
-    event.data(error(kind, retry_after_ms).to_string()).into()
+    event
+        .data(error_body(kind, retry_after_ms).to_string())
+        .into()
 }
--- a/crates/node/src/completions.rs
+++ b/crates/node/src/completions.rs
@@ -1,8 +1,8 @@
 //! Completions over HTTP, whole or as server-sent events.
 
 use super::*;
-use answer::Answer;
 use caller::{Desk, Guard, Head, Submitted};
+use completion_response::ResponseEncoder;
 
 /// Bytes of a prompt that decide which upstream may hold its prefix.
 const PREFIX_BYTES: usize = 256;
@@ -26,7 +26,7 @@
     let head = Head::read(request)?;
     let completion = Completion::read(&desk.body(request).await?)?;
     let generation = Uuid::now_v7();
-    let answer = Answer {
+    let answer = ResponseEncoder {
         generation: generation.to_string(),
         service: completion.service.clone(),
     };
@@ -89,7 +89,7 @@
 }
 
 /// Answers with server-sent events; with an error's status if nothing came before it.
-async fn stream(submitted: Submitted, answer: Answer, response: &mut salvo::Response) {
+async fn stream(submitted: Submitted, answer: ResponseEncoder, response: &mut salvo::Response) {
     let Submitted {
         mut guard,
         mut replies,
@@ -115,7 +115,7 @@
     first: Reply,
     replies: mpsc::UnboundedReceiver<Reply>,
     guard: Guard,
-    answer: Answer,
+    answer: ResponseEncoder,
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
     let state = (Some(first), replies, guard, answer);
     futures_util::stream::unfold(
@@ -146,7 +146,7 @@
 }
 
 /// Answers in one piece.
-async fn whole(submitted: Submitted, mut answer: Answer, response: &mut salvo::Response) {
+async fn whole(submitted: Submitted, mut answer: ResponseEncoder, response: &mut salvo::Response) {
     let Submitted {
         mut guard,
         mut replies,
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -9,7 +9,7 @@
 const LEAVING: Duration = Duration::from_secs(3);
 
 /// Upstreams that said they are leaving, and when that was heard.
-pub(crate) type Leaving = BTreeMap<String, Instant>;
+pub(crate) type LeavingUpstreams = BTreeMap<String, Instant>;
 
 /// Messages taken at once.
 const BATCH: usize = 256;
@@ -79,26 +79,26 @@
 }
 
 /// Where the core task sends what it does not carry out itself.
-pub(crate) struct Ends {
+pub(crate) struct CoreOutputs {
     /// The unplanned ends of upstreams that are known.
-    pub account: watch::Sender<account::Known>,
+    pub crash_history: watch::Sender<account::Known>,
     /// Claims to be settled.
     pub claims: mpsc::UnboundedSender<claimer::Order>,
     /// Requests to be refused also after all instances were lost.
-    pub kept: mpsc::UnboundedSender<keeper::Kept>,
+    pub quarantine_updates: mpsc::UnboundedSender<keeper::Kept>,
     /// Upstreams that said they are leaving.
-    pub leaving: watch::Sender<Leaving>,
+    pub leaving: watch::Sender<LeavingUpstreams>,
     /// Counters and histograms.
     pub meter: meter::Meter,
     /// What other instances are told.
-    pub told: mpsc::UnboundedSender<gossip::Told>,
+    pub gossip: mpsc::UnboundedSender<gossip::Told>,
     /// What control sends and receives.
     pub traffic: Traffic,
 }
 
 /// What the core task owns.
 struct Task {
-    account: watch::Sender<account::Known>,
+    crash_history: watch::Sender<account::Known>,
     attempts: HashMap<attempt::Key, JoinHandle<()>>,
     callers: HashMap<Caller, Listener>,
     claims: mpsc::UnboundedSender<claimer::Order>,
@@ -106,15 +106,15 @@
     core: Core,
     driver: Driver,
     fresh: Http,
-    kept: mpsc::UnboundedSender<keeper::Kept>,
-    leaving: watch::Sender<Leaving>,
+    quarantine_updates: mpsc::UnboundedSender<keeper::Kept>,
+    leaving: watch::Sender<LeavingUpstreams>,
     meter: meter::Meter,
     pooled: Http,
     probes: Http,
     relaying: Http,
-    told: mpsc::UnboundedSender<gossip::Told>,
+    gossip: mpsc::UnboundedSender<gossip::Told>,
     traffic: Traffic,
-    unknown: unknown::Unknown,
+    unknown: unknown_headers::UnknownHeaders,
 }
 
 impl Driver {
@@ -129,7 +129,7 @@
     }
 
     /// Tells the core an event.
-    pub(crate) fn event(&self, event: Event) {
+    pub(crate) fn send_event(&self, event: Event) {
         self.tell(Message::Event(event));
     }
 
@@ -141,7 +141,11 @@
     }
 
     /// Starts the core task.
-    pub(crate) fn start(settings: &Settings, clock: Clock, ends: Ends) -> (Self, JoinHandle<()>) {
+    pub(crate) fn start(
+        settings: &Settings,
+        clock: Clock,
+        outputs: CoreOutputs,
+    ) -> (Self, JoinHandle<()>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let driver = Self {
             callers: Arc::default(),
@@ -154,23 +158,23 @@
             core = core.restoring_streams();
         }
         let task = Task {
-            account: ends.account,
+            crash_history: outputs.crash_history,
             attempts: HashMap::new(),
             callers: HashMap::new(),
-            claims: ends.claims,
+            claims: outputs.claims,
             clock,
             core,
             driver: driver.clone(),
             fresh: Http::fresh(),
-            kept: ends.kept,
-            leaving: ends.leaving,
-            meter: ends.meter,
+            quarantine_updates: outputs.quarantine_updates,
+            leaving: outputs.leaving,
+            meter: outputs.meter,
             pooled: Http::pooled(),
-            probes: Http::control(&ends.traffic),
+            probes: Http::control(&outputs.traffic),
             relaying: Http::relaying(),
-            told: ends.told,
-            traffic: ends.traffic,
-            unknown: unknown::Unknown::default(),
+            gossip: outputs.gossip,
+            traffic: outputs.traffic,
+            unknown: unknown_headers::UnknownHeaders::default(),
         };
         (driver, tokio::spawn(task.run(receiver)))
     }
@@ -215,21 +219,21 @@
     }
 }
 
-impl Ends {
+impl CoreOutputs {
     /// Those of an instance that tells others by frames, and keeps nothing of upstreams that ended.
     pub(crate) fn new(
         claims: mpsc::UnboundedSender<claimer::Order>,
-        leaving: watch::Sender<Leaving>,
+        leaving: watch::Sender<LeavingUpstreams>,
         meter: meter::Meter,
         traffic: Traffic,
     ) -> Self {
         Self {
-            account: watch::channel(account::Known::default()).0,
+            crash_history: watch::channel(account::Known::default()).0,
             claims,
-            kept: mpsc::unbounded_channel().0,
+            quarantine_updates: mpsc::unbounded_channel().0,
             leaving,
             meter,
-            told: mpsc::unbounded_channel().0,
+            gossip: mpsc::unbounded_channel().0,
             traffic,
         }
     }
@@ -279,7 +283,7 @@
                 born,
                 silent_ms,
                 upstream,
-            } => note::believe(belief, born, silent_ms, &upstream),
+            } => request_log::believe(belief, born, silent_ms, &upstream),
             Effect::GossipLost(life) => self.tell_others(gossip::Told::Lost(life)),
             Effect::Cancel {
                 address,
@@ -335,7 +339,7 @@
                 reason,
             } => self.end(caller, Reply::Finished { position, reason }),
             Effect::GossipLeaving { life, upstream } => self.leaves(life, &upstream),
-            Effect::LogRequest(note) => note::write(&note),
+            Effect::LogRequest(note) => request_log::write(&note),
             Effect::GossipLimit { life, rate } => {
                 self.tell_others(gossip::Told::Limit { life, rate });
             }
@@ -383,16 +387,17 @@
                 tokio::spawn(check::run(self.driver.clone(), address, life));
             }
             effect::Quarantine::Release { own, print } => {
-                note::free(print);
+                request_log::free(print);
                 if own {
                     self.keep(keeper::Kept::Nothing(print));
                 }
             }
             effect::Quarantine::Publish(account) => {
-                self.account.send_replace(account::Known::new(account));
+                self.crash_history
+                    .send_replace(account::Known::new(account));
             }
             effect::Quarantine::Refuse { ends, own, print } => {
-                note::quarantine(print, &ends, own);
+                request_log::quarantine(print, &ends, own);
                 if own {
                     self.keep(keeper::Kept::Ends(print, ends));
                 }
@@ -403,7 +408,7 @@
 
     fn keep(&self, kept: keeper::Kept) {
         // Where nothing is kept, nobody listens.
-        let _ = self.kept.send(kept);
+        let _ = self.quarantine_updates.send(kept);
     }
 
     /// Has other instances told that an upstream is leaving, by the one way that there is to them.
@@ -450,7 +455,7 @@
 
     fn tell_others(&self, told: gossip::Told) {
         // Where there are no other instances to tell, nobody listens.
-        let _ = self.told.send(told);
+        let _ = self.gossip.send(told);
     }
 
     fn take_held(&mut self, caller: Caller) -> Option<Held> {
@@ -529,7 +534,7 @@
             Some(task) => {
                 self.attempts.insert(attempt, task);
             }
-            None => self.driver.event(Event::Failed {
+            None => self.driver.send_event(Event::Failed {
                 attempt,
                 failure: Failure::Rejected,
             }),
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -69,7 +69,7 @@
             refusal(&response, attach)
         }
     };
-    driver.event(Event::Failed { attempt, failure });
+    driver.send_event(Event::Failed { attempt, failure });
 }
 
 /// The request that starts or re-attaches to a stream; `None` if the payload is no object.
@@ -119,7 +119,7 @@
             backoff: value.to_str().map_or(Backoff::Malformed, Backoff::parse),
             ..Notice::default()
         };
-        driver.event(Event::NoticeReceived {
+        driver.send_event(Event::NoticeReceived {
             attempt,
             notice,
             upstream,
@@ -166,7 +166,7 @@
         let position = chunk.position;
         let end = position + choice.token_ids.len() as u32;
         if !choice.token_ids.is_empty() {
-            driver.event(Event::Tokens {
+            driver.send_event(Event::Tokens {
                 attempt,
                 tokens: pieces(&choice.token_ids, choice.text),
                 position,
@@ -174,10 +174,10 @@
         }
         if let Some(report) = chunk.load {
             let load = report.load();
-            driver.event(Event::PiggybackedLoad { attempt, load });
+            driver.send_event(Event::PiggybackedLoad { attempt, load });
         }
         if let Some(reason) = choice.finish_reason {
-            driver.event(Event::GenerationFinished {
+            driver.send_event(Event::GenerationFinished {
                 attempt,
                 position: end,
                 reason,
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -96,7 +96,7 @@
     /// Sends the request and tells the core task what comes, up to the end of the answer.
     pub async fn run(self, http: Http, request: Request<http::Body>) {
         if let Err(failure) = self.exchange(http, request).await {
-            self.driver.event(Event::Failed {
+            self.driver.send_event(Event::Failed {
                 attempt: self.attempt,
                 failure,
             });
@@ -150,10 +150,10 @@
     /// Tells the core task what the upstream says of itself beside its answer, before anything of the answer goes on.
     fn tell(&self, status: StatusCode, notice: Notice) {
         if !notice.is_plain() {
-            note::notice(&self.run, &self.upstream_name, status, &notice);
+            request_log::notice(&self.run, &self.upstream_name, status, &notice);
         }
         if notice != Notice::default() {
-            self.driver.event(Event::NoticeReceived {
+            self.driver.send_event(Event::NoticeReceived {
                 attempt: self.attempt,
                 notice,
                 upstream: self.upstream,
@@ -174,7 +174,7 @@
             while let Some(end) = event_end(&buffer) {
                 let event: Vec<u8> = buffer.drain(..end).collect();
                 let position = platform::response::position(&event).ok_or(Failure::Broken)?;
-                self.driver.event(Event::StreamEvent {
+                self.driver.send_event(Event::StreamEvent {
                     attempt: self.attempt,
                     bytes: event.into(),
                     position,
@@ -184,7 +184,7 @@
         if !buffer.is_empty() {
             return Err(Failure::Broken);
         }
-        self.driver.event(Event::StreamEnded {
+        self.driver.send_event(Event::StreamEnded {
             attempt: self.attempt,
             marked,
         });
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -196,22 +196,23 @@
         }
         self.take_ends(told.ends, told.account, told.asks, from);
         for life in told.lost {
-            self.driver.event(Event::PeerLoss(decode_life(life)));
+            self.driver.send_event(Event::PeerLoss(decode_life(life)));
         }
         for life in told.leaving {
-            self.driver.event(Event::PeerLeaving(decode_life(life)));
+            self.driver
+                .send_event(Event::PeerLeaving(decode_life(life)));
         }
         for limit in told.limits {
             let life = decode_life(limit.life.unwrap_or_default());
             let rate = limit.rate.map(Rate);
-            self.driver.event(Event::PeerLimit { life, rate });
+            self.driver.send_event(Event::PeerLimit { life, rate });
         }
         for demand in told.demands {
             let demand = decode_demand(demand);
-            self.driver.event(Event::PeerDemand { demand, from });
+            self.driver.send_event(Event::PeerDemand { demand, from });
         }
         for pace in told.paces {
-            self.driver.event(Event::PeerPace(decode_pace(pace)));
+            self.driver.send_event(Event::PeerPace(decode_pace(pace)));
         }
         let word = told.roster.map(decode_word);
         let confirmed = told.confirmed.map(decode_confirmed);
@@ -240,7 +241,7 @@
     fn take_ends(&mut self, ends: Vec<peers::End>, digest: u64, asks: bool, from: SocketAddr) {
         if !ends.is_empty() {
             let account = account::decode(ends);
-            self.driver.event(Event::CrashReported(account.into()));
+            self.driver.send_event(Event::CrashReported(account.into()));
         }
         let own = self.account.borrow().digest;
         let told = if asks {
@@ -260,7 +261,7 @@
 /// Tells the core of streams that other instances relay.
 pub(crate) fn sight(sightings: Vec<peers::Sighting>, driver: &Driver) {
     for sighting in sightings {
-        driver.event(Event::PeerStream(decode(sighting)));
+        driver.send_event(Event::PeerStream(decode(sighting)));
     }
 }
 
--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -22,7 +22,7 @@
 /// The endpoint by which the platform learns whether the instance is ready.
 struct Ready {
     known: watch::Receiver<KnownState>,
-    stopping: relay::Stopping,
+    stopping: relay::ShutdownReceiver,
 }
 
 /// The endpoint of the page of counters.
@@ -41,7 +41,7 @@
     fn handle(&self, response: &mut salvo::Response) {
         let configured = self.known.borrow().configuration.is_some();
         let ready = configured && self.stopping.borrow().is_none();
-        caller::write_ready(response, ready);
+        caller::write_readiness(response, ready);
     }
 }
 
@@ -49,7 +49,7 @@
 pub struct Instance {
     driver: Driver,
     grace: Duration,
-    stop: watch::Sender<Option<relay::Stop>>,
+    stop: watch::Sender<Option<relay::Shutdown>>,
 }
 
 /// Runs an instance until it is told to stop and has stopped. Its settings file is read again on
@@ -91,13 +91,13 @@
             data_centre: settings.data_centre.clone(),
             name: settings.instance.clone(),
         };
-        let ends = driver::Ends {
-            account,
+        let ends = driver::CoreOutputs {
             claims: mpsc::unbounded_channel().0,
-            kept,
-            leaving: watch::channel(driver::Leaving::new()).0,
+            crash_history: account,
+            gossip: told,
+            leaving: watch::channel(driver::LeavingUpstreams::new()).0,
             meter,
-            told,
+            quarantine_updates: kept,
             traffic: Traffic::default(),
         };
         let (driver, _) = Driver::start(&settings, clock, ends);
@@ -112,7 +112,7 @@
         let endpoint = relay::Endpoint {
             driver: driver.clone(),
             limits: limited,
-            stopping,
+            shutdown: stopping,
         };
         let callers = Router::with_path("{**path}").goal(endpoint);
         serve(settings.listen.callers, callers, idle.clone()).await?;
@@ -171,7 +171,10 @@
         let last = self.grace.saturating_sub(MARGIN);
         let end = begun + last;
         info!("stopping");
-        self.stop.send_replace(Some(relay::Stop { begun, end }));
+        self.stop.send_replace(Some(relay::Shutdown {
+            deadline: end,
+            started_at: begun,
+        }));
         loop {
             sleep(LOOK).await;
             let running = self.driver.status().await.running;
@@ -188,7 +191,7 @@
 async fn count(mut members: watch::Receiver<members::Members>, own: members::Own, driver: Driver) {
     loop {
         let view = own.view(&members.borrow_and_update());
-        driver.event(Event::Instances(view));
+        driver.send_event(Event::Instances(view));
         if members.changed().await.is_err() {
             return;
         }
--- a/crates/node/src/instance.rs
+++ b/crates/node/src/instance.rs
@@ -46,9 +46,9 @@
             .await
             .map_err(|error| Error::Bind(settings.listen.callers, std::io::Error::other(error)))?;
 
-        let (leaving, leaving_here) = watch::channel(driver::Leaving::new());
+        let (leaving, leaving_here) = watch::channel(driver::LeavingUpstreams::new());
         let meter = meter::Meter::new(settings.metrics);
-        let ends = driver::Ends::new(claims.clone(), leaving, meter, traffic.clone());
+        let ends = driver::CoreOutputs::new(claims.clone(), leaving, meter, traffic.clone());
         let (driver, core) = Driver::start(&settings, clock, ends);
         let claimer = claimer::Claimer {
             driver: driver.clone(),
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -242,7 +242,7 @@
             match read {
                 Ok(Ok(kept)) => {
                     let account = account::decode(kept.ends);
-                    self.driver.event(Event::CrashReported(account.into()));
+                    self.driver.send_event(Event::CrashReported(account.into()));
                 }
                 Ok(Err(error)) => warn!("{} can not be read: {error}", item.key),
                 Err(error) => warn!("{} can not be read: {error}", item.key),
@@ -279,7 +279,7 @@
                 Err(error) => warn!("{} can not be read: {error}", item.key),
             }
         }
-        self.driver.event(Event::StreamsRestored);
+        self.driver.send_event(Event::StreamsRestored);
     }
 }
 
--- a/crates/node/src/learner.rs
+++ b/crates/node/src/learner.rs
@@ -150,7 +150,7 @@
                 let (revision, routes) = (config.revision, config.routes.len());
                 let (limits, store_revision) = self.limits;
                 info!(revision, routes, store_revision; "configuration in force");
-                self.learner.driver.event(Event::Config(config));
+                self.learner.driver.send_event(Event::Config(config));
                 self.learner.limits.send_replace(limits);
             }
             // The task that tells ends only with the instance.
@@ -177,7 +177,7 @@
             }
             Output::Upstreams(listed) => {
                 let listed = Some(listed);
-                self.learner.driver.event(Event::List {
+                self.learner.driver.send_event(Event::List {
                     requested_at: now,
                     entries: listed,
                 });
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -50,14 +50,14 @@
             Read::Changed(lines, new_tag) => {
                 tag = new_tag;
                 let listed = Some(lines.iter().map(listed).collect());
-                driver.event(Event::List {
+                driver.send_event(Event::List {
                     requested_at: asked,
                     entries: listed,
                 });
                 sender.send_replace(lines);
             }
             Read::Failed => warn!("the platform's list did not answer"),
-            Read::Same => driver.event(Event::List {
+            Read::Same => driver.send_event(Event::List {
                 requested_at: asked,
                 entries: None,
             }),
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -36,7 +36,7 @@
     /// The core task.
     pub driver: Driver,
     /// Upstreams that are leaving, to be told to peers.
-    pub leaving: watch::Receiver<driver::Leaving>,
+    pub leaving: watch::Receiver<driver::LeavingUpstreams>,
     /// The configuration held here.
     pub held: watch::Receiver<revision::Held>,
     /// Where heads that come are sent.
@@ -196,7 +196,11 @@
         batch: &peers::ClaimBatch,
         answers: &mpsc::UnboundedSender<peers::Frame>,
     ) -> bool {
-        let claims: Option<Vec<Claim>> = batch.claims.iter().map(forwarder::decode).collect();
+        let claims: Option<Vec<Claim>> = batch
+            .claims
+            .iter()
+            .map(claim_forwarder::decode_claim)
+            .collect();
         let Some(claims) = claims else {
             return false;
         };
@@ -217,7 +221,7 @@
             let mut settled = Vec::with_capacity(outcomes.len());
             for outcome in outcomes {
                 let outcome = outcome.await.unwrap_or(ClaimOutcome::Unavailable);
-                settled.push(forwarder::encode_outcome(outcome));
+                settled.push(claim_forwarder::encode_outcome(outcome));
             }
             let body = peers::frame::Body::ClaimOutcomes(peers::ClaimOutcomes {
                 id,
@@ -240,7 +244,7 @@
             peers.insert(beat.instance, peer);
         });
         for name in beat.leaving {
-            self.driver.event(Event::Leaving(name));
+            self.driver.send_event(Event::Leaving(name));
         }
         if head.revision > self.held.borrow().head.revision {
             let _ = self.orders.send(revision::Order::Head(head));
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -26,7 +26,7 @@
     }
     match response.into_body().collect().await {
         Err(_) => fail(&driver, attempt, Failure::Broken),
-        Ok(body) => driver.event(Event::Replied {
+        Ok(body) => driver.send_event(Event::Replied {
             attempt,
             body: body.to_bytes().to_vec(),
             status: status.as_u16(),
@@ -51,5 +51,5 @@
 }
 
 fn fail(driver: &Driver, attempt: attempt::Key, failure: Failure) {
-    driver.event(Event::Failed { attempt, failure });
+    driver.send_event(Event::Failed { attempt, failure });
 }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -37,10 +37,10 @@
     };
     let alive = report.is_some();
     if let Some(report) = report {
-        driver.event(Event::Load {
+        driver.send_event(Event::Load {
             load: report.load(),
             upstream,
         });
     }
-    driver.event(Event::Probed { upstream, alive });
+    driver.send_event(Event::Probed { upstream, alive });
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -17,21 +17,21 @@
 
 /// A planned stop.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stop {
+pub(crate) struct Shutdown {
     /// When it began.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// When the instance ends at the latest.
-    pub end: Instant,
+    pub deadline: Instant,
 }
 
 /// The planned stop; `None` while there is none.
-pub(crate) type Stopping = watch::Receiver<Option<Stop>>;
+pub(crate) type ShutdownReceiver = watch::Receiver<Option<Shutdown>>;
 
-impl Stop {
+impl Shutdown {
     /// Whether a new request could still be answered.
-    fn takes(self, long: bool) -> bool {
-        let left = self.end.saturating_duration_since(Instant::now());
-        left > SHORT_TAKEN && (!long || self.begun.elapsed() <= LONG_TAKEN)
+    fn accepts(self, long: bool) -> bool {
+        let left = self.deadline.saturating_duration_since(Instant::now());
+        left > SHORT_TAKEN && (!long || self.started_at.elapsed() <= LONG_TAKEN)
     }
 }
 
@@ -42,7 +42,7 @@
     /// Limits on what callers send.
     pub limits: watch::Receiver<platform::configuration::Limits>,
     /// The planned stop.
-    pub stopping: Stopping,
+    pub shutdown: ShutdownReceiver,
 }
 
 #[salvo::handler]
@@ -53,7 +53,7 @@
             let run = platform::request::request_id(request.headers());
             refuse(response, run.unwrap_or_default(), kind, None);
         }
-        if self.stopping.borrow().is_some() {
+        if self.shutdown.borrow().is_some() {
             let close = header::HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -78,8 +78,8 @@
             Kind::BadBody
         })?;
         let long = asked.relay.prompt != 0;
-        let stop = *self.stopping.borrow();
-        if stop.is_some_and(|stop| !stop.takes(long)) {
+        let shutdown = *self.shutdown.borrow();
+        if shutdown.is_some_and(|shutdown| !shutdown.accepts(long)) {
             self.driver.count(Counter::Refused(Kind::NotReady));
             let run = &asked.relay.run;
             refuse(response, run, Kind::NotReady, Some(STOPPING_RETRY_MS));
--- a/crates/node/src/revision.rs
+++ b/crates/node/src/revision.rs
@@ -105,7 +105,7 @@
         }
         let declaration = declaration::join(declarations.iter());
         let config = declaration::compile(&declaration, head.revision);
-        self.driver.event(Event::Config(Arc::new(config)));
+        self.driver.send_event(Event::Config(Arc::new(config)));
         let revision = head.revision;
         self.held.send_replace(Held {
             declaration,
--- a/crates/node/src/unknown.rs
+++ b/crates/node/src/unknown_headers.rs
@@ -11,9 +11,9 @@
 
 /// Words that were told of.
 #[derive(Debug, Default)]
-pub(crate) struct Unknown(BTreeSet<String>);
+pub(crate) struct UnknownHeaders(BTreeSet<String>);
 
-impl Unknown {
+impl UnknownHeaders {
     /// Writes a line of a word if it is a new one.
     pub fn note(&mut self, word: &str, upstream: &str) {
         let word = word.get(..LENGTH).unwrap_or(word);
