--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -3,86 +3,86 @@
 use super::*;
 
 /// Header with the caller's idempotency key, a `UUIDv7`.
-const KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Header with the cursor of the last event received.
-const LAST_EVENT: &str = "last-event-id";
+const LAST_EVENT_ID: &str = "last-event-id";
 
 /// `GET /ready`: whether the balancer shall send new callers here.
-struct Ready {
+struct Readiness {
     driver: Driver,
     stopping: Arc<AtomicBool>,
 }
 
 /// What is asked of an [`Endpoint`].
 #[derive(Clone, Copy)]
-enum Asks {
-    /// `POST /v1/completions`.
-    Completion,
+enum Operation {
     /// `/services/{service}/...`: a call of a plain service.
     Call,
+    /// `POST /v1/completions`.
+    Completion,
 }
 
 /// An endpoint that hands requests to the core.
 struct Endpoint {
-    asks: Asks,
-    desk: Desk,
+    operation: Operation,
+    submitter: Submitter,
 }
 
 /// Takes requests in for the core.
 #[derive(Clone)]
-pub(crate) struct Desk {
-    body_max: usize,
+pub(crate) struct Submitter {
     driver: Driver,
+    max_body_bytes: usize,
 }
 
 /// A request handed to the core.
 pub(crate) struct Submitted {
     /// Held while its answer is not whole.
-    pub guard: Guard,
+    pub guard: CallerGuard,
     /// Its answer.
     pub replies: mpsc::UnboundedReceiver<Reply>,
 }
 
 /// What a request asks, and what binds its cursors and claims.
-pub(crate) struct Asked {
+pub(crate) struct ParsedRequest {
     /// Digest of service and body.
     pub fingerprint: u64,
     /// Tokens that a caller who comes back has.
-    pub received: Option<Vec<u32>>,
+    pub received_tokens: Option<Vec<u32>>,
     /// What is asked.
     pub work: Work,
 }
 
 /// What the headers of a request say.
-pub(crate) struct Head {
+pub(crate) struct RequestHeaders {
     cursor: Option<Vec<u8>>,
     customer: String,
-    key: Option<u128>,
+    idempotency_key: Option<u128>,
 }
 
 /// Tells the core that a caller is gone when its task ends before the answer.
-pub(crate) struct Guard {
+pub(crate) struct CallerGuard {
     caller: Caller,
     driver: Driver,
     /// Whether the last step of the answer has come.
-    pub ended: bool,
+    pub is_finished: bool,
 }
 
-impl Guard {
+impl CallerGuard {
     /// A guard of a caller whose answer has not come yet.
     pub fn new(caller: Caller, driver: &Driver) -> Self {
         Self {
             caller,
             driver: driver.clone(),
-            ended: false,
+            is_finished: false,
         }
     }
 }
 
-impl Drop for Guard {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_finished {
             self.driver.send_event(Event::CallerGone(self.caller));
         }
     }
@@ -90,21 +90,21 @@
 
 /// The routes of the callers' side.
 pub(crate) fn router(settings: &Settings, driver: &Driver, stopping: &Arc<AtomicBool>) -> Router {
-    let endpoint = |asks| Endpoint {
-        asks,
-        desk: Desk {
-            body_max: settings.body_max,
+    let endpoint = |operation| Endpoint {
+        operation,
+        submitter: Submitter {
             driver: driver.clone(),
+            max_body_bytes: settings.body_max,
         },
     };
-    let ready = Ready {
+    let readiness = Readiness {
         driver: driver.clone(),
         stopping: stopping.clone(),
     };
     Router::new()
-        .push(Router::with_path("v1/completions").post(endpoint(Asks::Completion)))
-        .push(Router::with_path("ready").get(ready))
-        .push(Router::with_path("services/{service}/{**path}").goal(endpoint(Asks::Call)))
+        .push(Router::with_path("v1/completions").post(endpoint(Operation::Completion)))
+        .push(Router::with_path("ready").get(readiness))
+        .push(Router::with_path("services/{service}/{**path}").goal(endpoint(Operation::Call)))
 }
 
 /// Digest of a service's name and what is asked of it, which binds cursors and claims.
@@ -119,22 +119,22 @@
 #[salvo::handler]
 impl Endpoint {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let answered = match self.asks {
-            Asks::Call => calls::call(&self.desk, request, response).await,
-            Asks::Completion => completions::complete(&self.desk, request, response).await,
+        let result = match self.operation {
+            Operation::Call => calls::handle(&self.submitter, request, response).await,
+            Operation::Completion => completions::handle(&self.submitter, request, response).await,
         };
-        if let Err(kind) = answered {
-            self.desk.driver.count(Counter::Refused(kind));
-            refuse(response, kind, None);
+        if let Err(kind) = result {
+            self.submitter.driver.count(Counter::Refused(kind));
+            write_error(response, kind, None);
         }
     }
 }
 
-impl Desk {
+impl Submitter {
     /// The body of a request.
-    pub async fn body(&self, request: &mut salvo::Request) -> Result<Bytes, Kind> {
+    pub async fn read_body(&self, request: &mut salvo::Request) -> Result<Bytes, Kind> {
         request
-            .payload_with_max_size(self.body_max)
+            .payload_with_max_size(self.max_body_bytes)
             .await
             .cloned()
             .map_err(|error| match error {
@@ -144,37 +144,43 @@
     }
 
     /// Hands a request to the core.
-    pub fn submit(&self, head: Head, service: String, generation: Uuid, asked: Asked) -> Submitted {
-        let caller = self.driver.caller();
-        let guard = Guard::new(caller, &self.driver);
+    pub fn submit(
+        &self,
+        headers: RequestHeaders,
+        service: String,
+        generation: Uuid,
+        parsed: ParsedRequest,
+    ) -> Submitted {
+        let caller = self.driver.new_caller();
+        let guard = CallerGuard::new(caller, &self.driver);
         let replies = self.driver.submit(Submission {
             caller,
-            cursor: head.cursor,
-            customer: head.customer,
-            fingerprint: asked.fingerprint,
+            cursor: headers.cursor,
+            customer: headers.customer,
+            fingerprint: parsed.fingerprint,
             generation: generation.as_u128(),
-            key: head.key,
-            received: asked.received,
+            key: headers.idempotency_key,
+            received: parsed.received_tokens,
             service,
-            work: asked.work,
+            work: parsed.work,
         });
         Submitted { guard, replies }
     }
 }
 
-impl Head {
+impl RequestHeaders {
     /// Reads the headers of a request.
-    pub fn read(request: &salvo::Request) -> Result<Self, Kind> {
+    pub fn parse(request: &salvo::Request) -> Result<Self, Kind> {
         Ok(Self {
-            customer: customer(request)?,
-            key: key(request)?,
+            customer: customer_digest(request)?,
+            idempotency_key: idempotency_key(request)?,
             cursor: cursor(request)?,
         })
     }
 }
 
 #[salvo::handler]
-impl Ready {
+impl Readiness {
     async fn handle(&self, response: &mut salvo::Response) {
         let configured = self.driver.status().await.revision.is_some();
         let ready = configured && !self.stopping.load(Ordering::Relaxed);
@@ -184,7 +190,7 @@
 
 /// The cursor that a caller goes on from.
 fn cursor(request: &salvo::Request) -> Result<Option<Vec<u8>>, Kind> {
-    let Some(value) = request.headers().get(LAST_EVENT) else {
+    let Some(value) = request.headers().get(LAST_EVENT_ID) else {
         return Ok(None);
     };
     BASE64_URL_SAFE_NO_PAD
@@ -194,7 +200,7 @@
 }
 
 /// Digest of the customer's key.
-fn customer(request: &salvo::Request) -> Result<String, Kind> {
+fn customer_digest(request: &salvo::Request) -> Result<String, Kind> {
     let key = request
         .headers()
         .get(header::AUTHORIZATION)
@@ -211,8 +217,8 @@
 }
 
 /// The idempotency key, if given.
-fn key(request: &salvo::Request) -> Result<Option<u128>, Kind> {
-    let Some(value) = request.headers().get(KEY) else {
+fn idempotency_key(request: &salvo::Request) -> Result<Option<u128>, Kind> {
+    let Some(value) = request.headers().get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
     let key = value
@@ -223,7 +229,7 @@
 }
 
 /// Gives an error as the whole answer.
-pub(crate) fn refuse(response: &mut salvo::Response, kind: Kind, retry_after_ms: Option<u64>) {
+pub(crate) fn write_error(response: &mut salvo::Response, kind: Kind, retry_after_ms: Option<u64>) {
     let status = StatusCode::from_u16(kind.answer().status);
     response.status_code(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     if let Some(millis) = retry_after_ms {
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -1,25 +1,25 @@
 //! Calls of plain services over HTTP.
 
 use super::*;
-use caller::{Desk, Head, Submitted};
+use caller::{RequestHeaders, Submitted, Submitter};
 
 /// Answers one call.
-pub(crate) async fn call(
-    desk: &Desk,
+pub(crate) async fn handle(
+    submitter: &Submitter,
     request: &mut salvo::Request,
     response: &mut salvo::Response,
 ) -> Result<(), Kind> {
-    let head = Head::read(request)?;
+    let headers = RequestHeaders::parse(request)?;
     let service: String = request.param("service").ok_or(Kind::UnknownService)?;
     let rest: String = request.param("path").unwrap_or_default();
     let query = request.uri().query().map(|query| format!("?{query}"));
     let path = format!("{} /{rest}{}", request.method(), query.unwrap_or_default());
-    let payload = desk.body(request).await?;
-    let mut bound = path.clone().into_bytes();
-    bound.extend_from_slice(&payload);
-    let asked = caller::Asked {
-        fingerprint: caller::fingerprint(&service, &bound),
-        received: None,
+    let payload = submitter.read_body(request).await?;
+    let mut fingerprinted = path.clone().into_bytes();
+    fingerprinted.extend_from_slice(&payload);
+    let parsed = caller::ParsedRequest {
+        fingerprint: caller::fingerprint(&service, &fingerprinted),
+        received_tokens: None,
         work: Work::Call {
             path: path.into(),
             payload: payload.to_vec().into(),
@@ -28,9 +28,9 @@
     let Submitted {
         mut guard,
         mut replies,
-    } = desk.submit(head, service, Uuid::now_v7(), asked);
+    } = submitter.submit(headers, service, Uuid::now_v7(), parsed);
     let reply = replies.recv().await;
-    guard.ended = true;
+    guard.is_finished = true;
     match reply {
         Some(Reply::Body { body, status }) => {
             let status = StatusCode::from_u16(status);
@@ -40,8 +40,8 @@
         Some(Reply::Failed {
             kind,
             retry_after_ms,
-        }) => caller::refuse(response, kind, retry_after_ms),
-        _ => caller::refuse(response, Kind::Unknown, None),
+        }) => caller::write_error(response, kind, retry_after_ms),
+        _ => caller::write_error(response, Kind::Unknown, None),
     }
     Ok(())
 }
--- a/crates/node/src/claim_forwarder.rs
+++ b/crates/node/src/claim_forwarder.rs
@@ -9,26 +9,26 @@
 
 /// Time that an owner has to answer. Above it stands the pace of its writes and two calls of the
 /// key-value service.
-const PATIENCE: Duration = Duration::from_millis(300);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time after which a link without claims is closed.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-type Link = Framed<TcpStream, frame::Codec>;
+type Connection = Framed<TcpStream, frame::Codec>;
 
 /// Hands claims on to one owner.
 pub(crate) struct ClaimForwarder {
-    back: mpsc::UnboundedSender<claimer::Order>,
     driver: Driver,
-    next: u64,
+    in_flight: HashMap<u64, Batch>,
+    last_id: u64,
     owner: SocketAddr,
-    waiting: HashMap<u64, Batch>,
+    returned_claims: mpsc::UnboundedSender<claimer::Order>,
 }
 
 /// Claims that were sent and not answered.
 struct Batch {
-    orders: Vec<claimer::Order>,
-    sent: Instant,
+    claims: Vec<claimer::Order>,
+    sent_at: Instant,
 }
 
 impl ClaimForwarder {
@@ -36,72 +36,72 @@
     /// go `back`.
     pub fn new(
         owner: SocketAddr,
-        back: mpsc::UnboundedSender<claimer::Order>,
+        returned_claims: mpsc::UnboundedSender<claimer::Order>,
         driver: Driver,
     ) -> Self {
         Self {
-            back,
             driver,
-            next: 0,
+            in_flight: HashMap::new(),
+            last_id: 0,
             owner,
-            waiting: HashMap::new(),
+            returned_claims,
         }
     }
 
     /// Serves until nobody asked for a while or the link fails.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<claimer::Order>) {
-        let link = timeout(PATIENCE, TcpStream::connect(self.owner)).await;
-        if let Ok(Ok(socket)) = link {
+    pub async fn run(mut self, mut claims: mpsc::UnboundedReceiver<claimer::Order>) {
+        let connection = timeout(RESPONSE_TIMEOUT, TcpStream::connect(self.owner)).await;
+        if let Ok(Ok(socket)) = connection {
             let _ = socket.set_nodelay(true);
-            let link = Framed::new(socket, frame::Codec::new());
-            self.serve(link, &mut orders).await;
+            let connection = Framed::new(socket, frame::Codec::new());
+            self.serve(connection, &mut claims).await;
         }
-        orders.close();
-        while let Some(order) = orders.recv().await {
-            self.pass_by(order);
+        claims.close();
+        while let Some(claim) = claims.recv().await {
+            self.return_claim(claim);
         }
-        let batches = std::mem::take(&mut self.waiting);
-        for order in batches.into_values().flat_map(|batch| batch.orders) {
-            self.pass_by(order);
+        let batches = std::mem::take(&mut self.in_flight);
+        for claim in batches.into_values().flat_map(|batch| batch.claims) {
+            self.return_claim(claim);
         }
     }
 
     /// Has a claim committed here.
-    fn pass_by(&self, order: claimer::Order) {
-        let _ = self.back.send(claimer::Order {
+    fn return_claim(&self, claim: claimer::Order) {
+        let _ = self.returned_claims.send(claimer::Order {
             here: true,
-            ..order
+            ..claim
         });
     }
 
     async fn serve(
         &mut self,
-        mut link: Link,
-        orders: &mut mpsc::UnboundedReceiver<claimer::Order>,
+        mut connection: Connection,
+        claims: &mut mpsc::UnboundedReceiver<claimer::Order>,
     ) {
-        let mut used = Instant::now();
-        let mut ticks = interval(PATIENCE / 6);
-        while used.elapsed() < IDLE {
+        let mut last_claim_at = Instant::now();
+        let mut ticks = interval(RESPONSE_TIMEOUT / 6);
+        while last_claim_at.elapsed() < IDLE_TIMEOUT {
             tokio::select! {
-                order = orders.recv() => {
-                    let Some(order) = order else { return };
-                    used = Instant::now();
-                    let mut group = vec![order];
-                    while let Ok(order) = orders.try_recv() {
-                        group.push(order);
+                claim = claims.recv() => {
+                    let Some(claim) = claim else { return };
+                    last_claim_at = Instant::now();
+                    let mut batch = vec![claim];
+                    while let Ok(claim) = claims.try_recv() {
+                        batch.push(claim);
                     }
-                    let frame = self.batch(group);
-                    if link.send(frame).await.is_err() {
+                    let frame = self.start_batch(batch);
+                    if connection.send(frame).await.is_err() {
                         return;
                     }
                 }
-                frame = link.next() => match frame {
-                    Some(Ok(frame)) => self.take(frame),
+                frame = connection.next() => match frame {
+                    Some(Ok(frame)) => self.handle_frame(frame),
                     _ => return,
                 },
                 _ = ticks.tick() => {
-                    let late = |batch: &Batch| batch.sent.elapsed() > PATIENCE;
-                    if self.waiting.values().any(late) {
+                    let is_overdue = |batch: &Batch| batch.sent_at.elapsed() > RESPONSE_TIMEOUT;
+                    if self.in_flight.values().any(is_overdue) {
                         return;
                     }
                 }
@@ -109,37 +109,39 @@
         }
     }
 
-    fn batch(&mut self, orders: Vec<claimer::Order>) -> peers::Frame {
-        self.next += 1;
-        let claims = orders
+    /// Records a batch as in flight and encodes it.
+    fn start_batch(&mut self, claims: Vec<claimer::Order>) -> peers::Frame {
+        self.last_id += 1;
+        let encoded = claims
             .iter()
-            .map(|order| encode_claim(&order.claim))
+            .map(|pending| encode_claim(&pending.claim))
             .collect();
         let batch = Batch {
-            orders,
-            sent: Instant::now(),
+            claims,
+            sent_at: Instant::now(),
         };
-        self.waiting.insert(self.next, batch);
+        self.in_flight.insert(self.last_id, batch);
         let body = peers::frame::Body::ClaimBatch(peers::ClaimBatch {
-            claims,
-            id: self.next,
+            claims: encoded,
+            id: self.last_id,
         });
         peers::Frame { body: Some(body) }
     }
 
-    fn take(&mut self, frame: peers::Frame) {
-        let Some(peers::frame::Body::ClaimOutcomes(answer)) = frame.body else {
+    /// Settles the claims of a batch whose outcomes arrived.
+    fn handle_frame(&mut self, frame: peers::Frame) {
+        let Some(peers::frame::Body::ClaimOutcomes(response)) = frame.body else {
             return;
         };
-        let Some(batch) = self.waiting.remove(&answer.id) else {
+        let Some(batch) = self.in_flight.remove(&response.id) else {
             return;
         };
-        let outcomes = answer.outcomes.iter().map(decode_outcome);
+        let outcomes = response.outcomes.iter().map(decode_outcome);
         let missing = std::iter::repeat(ClaimOutcome::Unavailable);
-        for (order, outcome) in batch.orders.into_iter().zip(outcomes.chain(missing)) {
+        for (claim, outcome) in batch.claims.into_iter().zip(outcomes.chain(missing)) {
             match outcome {
-                ClaimOutcome::Unavailable => self.pass_by(order),
-                outcome => order.settle(&self.driver, outcome),
+                ClaimOutcome::Unavailable => self.return_claim(claim),
+                outcome => claim.settle(&self.driver, outcome),
             }
         }
     }
--- a/crates/node/src/completion_response.rs
+++ b/crates/node/src/completion_response.rs
@@ -12,15 +12,15 @@
 
 impl ResponseEncoder {
     /// The event that carries tokens.
-    fn chunk(&self, pieces: &[OutputToken], position: u32) -> Value {
-        let text: String = pieces.iter().map(|piece| piece.text.as_str()).collect();
-        let tokens: Vec<u32> = pieces.iter().map(|piece| piece.id).collect();
+    fn chunk(&self, tokens: &[OutputToken], position: u32) -> Value {
+        let text: String = tokens.iter().map(|token| token.text.as_str()).collect();
+        let token_ids: Vec<u32> = tokens.iter().map(|token| token.id).collect();
         json!({
             "choices": [{
                 "finish_reason": null,
                 "index": 0,
                 "text": text,
-                "token_ids": tokens,
+                "token_ids": token_ids,
             }],
             "id": self.generation,
             "model": self.service,
@@ -30,56 +30,56 @@
     }
 
     /// The last event, or the whole answer with its text and tokens.
-    pub fn end(&self, text: &str, tokens: &[u32], position: u32, reason: &str) -> Value {
+    pub fn completion(&self, text: &str, token_ids: &[u32], position: u32, reason: &str) -> Value {
         json!({
             "choices": [{
                 "finish_reason": reason,
                 "index": 0,
                 "text": text,
-                "token_ids": tokens,
+                "token_ids": token_ids,
             }],
             "id": self.generation,
             "model": self.service,
             "object": "text_completion",
-            "position": position - tokens.len() as u32,
+            "position": position - token_ids.len() as u32,
             "usage": { "completion_tokens": position },
         })
     }
 
     /// Takes the identity of the generation from a cursor; a caller that came back goes on with an
     /// earlier one.
-    pub fn identify(&mut self, cursor: &[u8; cursor::LENGTH]) {
+    pub fn set_generation(&mut self, cursor: &[u8; cursor::LENGTH]) {
         self.generation = Uuid::from_u128(cursor::generation(cursor)).to_string();
     }
 
     /// One step of the answer as server-sent events.
     pub fn events(&mut self, reply: Reply) -> Bytes {
         match reply {
-            Reply::Answer(_)
+            Reply::Abort
             | Reply::Body { .. }
-            | Reply::Close
-            | Reply::Cut
-            | Reply::Open(_)
-            | Reply::Pass(_) => error_event(Kind::Internal, None),
+            | Reply::EndStream
+            | Reply::Event(_)
+            | Reply::Head(_)
+            | Reply::Response(_) => error_event(Kind::Internal, None),
             Reply::Failed {
                 kind,
                 retry_after_ms,
             } => error_event(kind, retry_after_ms),
-            Reply::Finished { reason, position } => {
-                let end = self.end("", &[], position, &reason).to_string();
+            Reply::Finished { position, reason } => {
+                let end = self.completion("", &[], position, &reason).to_string();
                 let mut events = Vec::from(Bytes::from(Sse::default().data(end)));
                 events.extend_from_slice(b"data: [DONE]\n\n");
                 events.into()
             }
             Reply::Tokens {
                 cursor,
-                pieces,
                 position,
+                tokens,
             } => {
-                self.identify(&cursor);
+                self.set_generation(&cursor);
                 Sse::default()
                     .id(BASE64_URL_SAFE_NO_PAD.encode(cursor))
-                    .data(self.chunk(&pieces, position).to_string())
+                    .data(self.chunk(&tokens, position).to_string())
                     .into()
             }
         }
--- a/crates/node/src/completions.rs
+++ b/crates/node/src/completions.rs
@@ -1,47 +1,47 @@
 //! Completions over HTTP, whole or as server-sent events.
 
 use super::*;
-use caller::{Desk, Guard, Head, Submitted};
+use caller::{CallerGuard, RequestHeaders, Submitted, Submitter};
 use completion_response::ResponseEncoder;
 
 /// Bytes of a prompt that decide which upstream may hold its prefix.
 const PREFIX_BYTES: usize = 256;
 
 /// Tokens of an answer if the caller does not say.
-const MAX_TOKENS: u64 = 256;
+const DEFAULT_MAX_TOKENS: u64 = 256;
 
 /// A completion as the caller asked for it.
-struct Completion {
-    asked: caller::Asked,
+struct CompletionRequest {
+    parsed: caller::ParsedRequest,
     service: String,
     stream: bool,
 }
 
 /// Answers one completion.
-pub(crate) async fn complete(
-    desk: &Desk,
+pub(crate) async fn handle(
+    submitter: &Submitter,
     request: &mut salvo::Request,
     response: &mut salvo::Response,
 ) -> Result<(), Kind> {
-    let head = Head::read(request)?;
-    let completion = Completion::read(&desk.body(request).await?)?;
+    let headers = RequestHeaders::parse(request)?;
+    let completion = CompletionRequest::parse(&submitter.read_body(request).await?)?;
     let generation = Uuid::now_v7();
-    let answer = ResponseEncoder {
+    let encoder = ResponseEncoder {
         generation: generation.to_string(),
         service: completion.service.clone(),
     };
-    let submitted = desk.submit(head, completion.service, generation, completion.asked);
+    let submitted = submitter.submit(headers, completion.service, generation, completion.parsed);
     if completion.stream {
-        stream(submitted, answer, response).await;
+        respond_with_stream(submitted, encoder, response).await;
     } else {
-        whole(submitted, answer, response).await;
+        respond_with_json(submitted, encoder, response).await;
     }
     Ok(())
 }
 
-impl Completion {
+impl CompletionRequest {
     /// Reads a completions request.
-    fn read(body: &[u8]) -> Result<Self, Kind> {
+    fn parse(body: &[u8]) -> Result<Self, Kind> {
         let mut fields: Map<String, Value> =
             serde_json::from_slice(body).map_err(|_| Kind::BadBody)?;
         let Some(Value::String(service)) = fields.remove("model") else {
@@ -52,7 +52,7 @@
             Some(Value::Bool(stream)) => stream,
             Some(_) => return Err(Kind::BadBody),
         };
-        let received = match fields.remove("received_token_ids") {
+        let received_tokens = match fields.remove("received_token_ids") {
             None => None,
             Some(value) => Some(serde_json::from_value(value).map_err(|_| Kind::BadBody)?),
         };
@@ -66,20 +66,20 @@
             _ => return Err(Kind::BadBody),
         };
         let max_tokens = match fields.get("max_tokens") {
-            None => MAX_TOKENS,
+            None => DEFAULT_MAX_TOKENS,
             Some(value) => value.as_u64().ok_or(Kind::BadBody)?,
         };
         let payload = Value::Object(fields).to_string().into_bytes();
-        let start = &prompt[..prompt.len().min(PREFIX_BYTES)];
+        let prompt_prefix = &prompt[..prompt.len().min(PREFIX_BYTES)];
         let max_tokens = u32::try_from(max_tokens).map_err(|_| Kind::TooLarge)?;
         Ok(Self {
-            asked: caller::Asked {
+            parsed: caller::ParsedRequest {
                 fingerprint: caller::fingerprint(&service, &payload),
-                received,
+                received_tokens,
                 work: Work::Generate {
                     max_tokens,
                     payload: payload.into(),
-                    prefix: caller::first_bytes(&blake3::hash(start)),
+                    prefix: caller::first_bytes(&blake3::hash(prompt_prefix)),
                 },
             },
             service,
@@ -89,7 +89,11 @@
 }
 
 /// Answers with server-sent events; with an error's status if nothing came before it.
-async fn stream(submitted: Submitted, answer: ResponseEncoder, response: &mut salvo::Response) {
+async fn respond_with_stream(
+    submitted: Submitted,
+    encoder: ResponseEncoder,
+    response: &mut salvo::Response,
+) {
     let Submitted {
         mut guard,
         mut replies,
@@ -99,29 +103,29 @@
             kind,
             retry_after_ms,
         }) => {
-            guard.ended = true;
-            return caller::refuse(response, kind, retry_after_ms);
+            guard.is_finished = true;
+            return caller::write_error(response, kind, retry_after_ms);
         }
         Some(first) => first,
-        None => return caller::refuse(response, Kind::Internal, None),
+        None => return caller::write_error(response, Kind::Internal, None),
     };
     let _ = response.add_header(header::CONTENT_TYPE, "text/event-stream", true);
     let _ = response.add_header(header::CACHE_CONTROL, "no-cache", true);
-    response.stream(events(first, replies, guard, answer));
+    response.stream(events(first, replies, guard, encoder));
 }
 
 /// The events of an answer, as many in one piece as have come.
 fn events(
     first: Reply,
     replies: mpsc::UnboundedReceiver<Reply>,
-    guard: Guard,
-    answer: ResponseEncoder,
+    guard: CallerGuard,
+    encoder: ResponseEncoder,
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
-    let state = (Some(first), replies, guard, answer);
+    let state = (Some(first), replies, guard, encoder);
     futures_util::stream::unfold(
         state,
-        |(first, mut replies, mut guard, mut answer)| async move {
-            if guard.ended {
+        |(first, mut replies, mut guard, mut encoder)| async move {
+            if guard.is_finished {
                 return None;
             }
             let mut next = match first {
@@ -136,53 +140,57 @@
                 });
             }
             while let Some(reply) = next {
-                guard.ended = !matches!(reply, Reply::Tokens { .. });
-                bytes.extend_from_slice(&answer.events(reply));
+                guard.is_finished = !matches!(reply, Reply::Tokens { .. });
+                bytes.extend_from_slice(&encoder.events(reply));
                 next = replies.try_recv().ok();
             }
-            Some((Ok(Bytes::from(bytes)), (None, replies, guard, answer)))
+            Some((Ok(Bytes::from(bytes)), (None, replies, guard, encoder)))
         },
     )
 }
 
 /// Answers in one piece.
-async fn whole(submitted: Submitted, mut answer: ResponseEncoder, response: &mut salvo::Response) {
+async fn respond_with_json(
+    submitted: Submitted,
+    mut encoder: ResponseEncoder,
+    response: &mut salvo::Response,
+) {
     let Submitted {
         mut guard,
         mut replies,
     } = submitted;
     let mut text = String::new();
-    let mut tokens = Vec::new();
+    let mut token_ids = Vec::new();
     while let Some(reply) = replies.recv().await {
         match reply {
-            Reply::Answer(_)
+            Reply::Abort
             | Reply::Body { .. }
-            | Reply::Close
-            | Reply::Cut
-            | Reply::Open(_)
-            | Reply::Pass(_) => break,
+            | Reply::EndStream
+            | Reply::Event(_)
+            | Reply::Head(_)
+            | Reply::Response(_) => break,
             Reply::Failed {
                 kind,
                 retry_after_ms,
             } => {
-                guard.ended = true;
-                return caller::refuse(response, kind, retry_after_ms);
+                guard.is_finished = true;
+                return caller::write_error(response, kind, retry_after_ms);
             }
             Reply::Finished { position, reason } => {
-                guard.ended = true;
+                guard.is_finished = true;
                 return caller::write_json(
                     response,
-                    &answer.end(&text, &tokens, position, &reason),
+                    &encoder.completion(&text, &token_ids, position, &reason),
                 );
             }
-            Reply::Tokens { cursor, pieces, .. } => {
-                answer.identify(&cursor);
-                for piece in pieces {
-                    text.push_str(&piece.text);
-                    tokens.push(piece.id);
+            Reply::Tokens { cursor, tokens, .. } => {
+                encoder.set_generation(&cursor);
+                for token in tokens {
+                    text.push_str(&token.text);
+                    token_ids.push(token.id);
                 }
             }
         }
     }
-    caller::refuse(response, Kind::Internal, None);
+    caller::write_error(response, Kind::Internal, None);
 }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 /// Time between two ticks of the core.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time that peers are told that an upstream is leaving.
-const LEAVING: Duration = Duration::from_secs(3);
+const LEAVING_RETENTION: Duration = Duration::from_secs(3);
 
 /// Upstreams that said they are leaving, and when that was heard.
 pub(crate) type LeavingUpstreams = BTreeMap<String, Instant>;
 
 /// Messages taken at once.
-const BATCH: usize = 256;
+const BATCH_SIZE: usize = 256;
 
 /// What the core task is told.
 #[derive(Debug)]
@@ -21,39 +21,39 @@
     Count(Counter),
     /// An event for the core.
     Event(Event),
-    /// An upstream's head or whole answer, and what the core is told of it.
-    Held(attempt::Key, Caller, Held, Event),
     /// A request to be relayed, what is sent for it, and where its answer goes.
     Relay(
         Box<Submission>,
-        Arc<forward::Original>,
+        Arc<forward::OriginalRequest>,
         mpsc::UnboundedSender<Reply>,
     ),
+    /// Response head or complete response of an upstream, and the event that reports it to the core.
+    Response(attempt::Key, Caller, HeldResponse, Event),
+    /// New settings for the core.
+    Settings(Box<wellplank_core::settings::Settings>),
     /// Answer with the state.
     Status(oneshot::Sender<Snapshot>),
-    /// Other settings of the core.
-    Settings(Box<wellplank_core::settings::Settings>),
     /// A request, and where its answer goes.
     Submit(Box<Submission>, mpsc::UnboundedSender<Reply>),
     /// A word that an upstream said of itself and that is not known, and the upstream.
-    Unknown(String, Arc<str>),
+    UnknownHeader(String, Arc<str>),
 }
 
 /// What the edge holds of an upstream's answer until the core decides what is done with it.
 #[derive(Debug)]
-pub(crate) enum Held {
+pub(crate) enum HeldResponse {
     /// A whole answer.
-    Answer(Box<forward::Answer>),
+    Complete(Box<forward::CompleteResponse>),
     /// The head of a stream.
     Head(Box<forward::Head>),
 }
 
 /// A caller that waits for its answer.
-struct Listener {
+struct PendingCaller {
     /// What came last from an upstream and is not yet given to the caller.
-    held: Option<Held>,
+    held: Option<HeldResponse>,
     /// The request, if it is relayed.
-    original: Option<Arc<forward::Original>>,
+    original: Option<Arc<forward::OriginalRequest>>,
     /// Where the answer goes.
     replies: mpsc::UnboundedSender<Reply>,
 }
@@ -74,69 +74,69 @@
 /// Handle of the core task.
 #[derive(Clone, Debug)]
 pub struct Driver {
-    callers: Arc<AtomicU64>,
+    next_caller: Arc<AtomicU64>,
     sender: mpsc::UnboundedSender<Message>,
 }
 
 /// Where the core task sends what it does not carry out itself.
 pub(crate) struct CoreOutputs {
+    /// Claims of idempotency keys to settle.
+    pub claims: mpsc::UnboundedSender<claimer::Order>,
     /// The unplanned ends of upstreams that are known.
     pub crash_history: watch::Sender<account::Known>,
-    /// Claims to be settled.
-    pub claims: mpsc::UnboundedSender<claimer::Order>,
-    /// Requests to be refused also after all instances were lost.
-    pub quarantine_updates: mpsc::UnboundedSender<keeper::Kept>,
+    /// Messages to other instances.
+    pub gossip: mpsc::UnboundedSender<gossip::Told>,
     /// Upstreams that said they are leaving.
     pub leaving: watch::Sender<LeavingUpstreams>,
     /// Counters and histograms.
     pub meter: meter::Meter,
     /// What other instances are told.
-    pub gossip: mpsc::UnboundedSender<gossip::Told>,
+    pub quarantine_updates: mpsc::UnboundedSender<keeper::Kept>,
     /// What control sends and receives.
     pub traffic: Traffic,
 }
 
 /// What the core task owns.
 struct Task {
-    crash_history: watch::Sender<account::Known>,
     attempts: HashMap<attempt::Key, JoinHandle<()>>,
-    callers: HashMap<Caller, Listener>,
+    callers: HashMap<Caller, PendingCaller>,
     claims: mpsc::UnboundedSender<claimer::Order>,
     clock: Clock,
     core: Core,
+    crash_history: watch::Sender<account::Known>,
     driver: Driver,
-    fresh: Http,
-    quarantine_updates: mpsc::UnboundedSender<keeper::Kept>,
+    gossip: mpsc::UnboundedSender<gossip::Told>,
     leaving: watch::Sender<LeavingUpstreams>,
     meter: meter::Meter,
     pooled: Http,
     probes: Http,
-    relaying: Http,
-    gossip: mpsc::UnboundedSender<gossip::Told>,
+    quarantine_updates: mpsc::UnboundedSender<keeper::Kept>,
+    relays: Http,
     traffic: Traffic,
-    unknown: unknown_headers::UnknownHeaders,
+    unknown_headers: unknown_headers::UnknownHeaders,
+    unpooled: Http,
 }
 
 impl Driver {
     /// A name for a new caller's connection.
-    pub(crate) fn caller(&self) -> Caller {
-        Caller(self.callers.fetch_add(1, Ordering::Relaxed))
+    pub(crate) fn new_caller(&self) -> Caller {
+        Caller(self.next_caller.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Counts something that an edge decided.
     pub(crate) fn count(&self, counter: Counter) {
-        self.tell(Message::Count(counter));
+        self.send(Message::Count(counter));
     }
 
     /// Tells the core an event.
     pub(crate) fn send_event(&self, event: Event) {
-        self.tell(Message::Event(event));
+        self.send(Message::Event(event));
     }
 
     /// The state for operators; empty if the core task has ended.
     pub(crate) async fn status(&self) -> Snapshot {
         let (sender, receiver) = oneshot::channel();
-        self.tell(Message::Status(sender));
+        self.send(Message::Status(sender));
         receiver.await.unwrap_or_default()
     }
 
@@ -148,7 +148,7 @@
     ) -> (Self, JoinHandle<()>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let driver = Self {
-            callers: Arc::default(),
+            next_caller: Arc::default(),
             sender,
         };
         let seed = rand::random();
@@ -158,62 +158,68 @@
             core = core.restoring_streams();
         }
         let task = Task {
-            crash_history: outputs.crash_history,
             attempts: HashMap::new(),
             callers: HashMap::new(),
             claims: outputs.claims,
             clock,
             core,
+            crash_history: outputs.crash_history,
             driver: driver.clone(),
-            fresh: Http::fresh(),
-            quarantine_updates: outputs.quarantine_updates,
+            gossip: outputs.gossip,
             leaving: outputs.leaving,
             meter: outputs.meter,
             pooled: Http::pooled(),
             probes: Http::control(&outputs.traffic),
-            relaying: Http::relaying(),
-            gossip: outputs.gossip,
+            quarantine_updates: outputs.quarantine_updates,
+            relays: Http::relaying(),
             traffic: outputs.traffic,
-            unknown: unknown_headers::UnknownHeaders::default(),
+            unknown_headers: unknown_headers::UnknownHeaders::default(),
+            unpooled: Http::fresh(),
         };
         (driver, tokio::spawn(task.run(receiver)))
     }
 
     /// Hands in a request; its answer comes on the receiver.
     pub(crate) fn submit(&self, submission: Submission) -> mpsc::UnboundedReceiver<Reply> {
-        let (sender, receiver) = mpsc::unbounded_channel();
-        self.tell(Message::Submit(Box::new(submission), sender));
+        let (replies, receiver) = mpsc::unbounded_channel();
+        self.send(Message::Submit(Box::new(submission), replies));
         receiver
     }
 
     /// Has the core take other settings.
     pub(crate) fn configure(&self, settings: wellplank_core::settings::Settings) {
-        self.tell(Message::Settings(Box::new(settings)));
+        self.send(Message::Settings(Box::new(settings)));
     }
 
     /// Hands in what an upstream answered, and tells the core of it.
-    pub(crate) fn hold(&self, attempt: attempt::Key, caller: Caller, held: Held, event: Event) {
-        self.tell(Message::Held(attempt, caller, held, event));
+    pub(crate) fn hold_response(
+        &self,
+        attempt: attempt::Key,
+        caller: Caller,
+        held: HeldResponse,
+        event: Event,
+    ) {
+        self.send(Message::Response(attempt, caller, held, event));
     }
 
     /// Hands in a request to be relayed; its answer comes on the receiver.
-    pub(crate) fn relay(
+    pub(crate) fn submit_relay(
         &self,
         submission: Submission,
-        original: forward::Original,
+        original: forward::OriginalRequest,
     ) -> mpsc::UnboundedReceiver<Reply> {
-        let (sender, receiver) = mpsc::unbounded_channel();
+        let (replies, receiver) = mpsc::unbounded_channel();
         let original = Arc::new(original);
-        self.tell(Message::Relay(Box::new(submission), original, sender));
+        self.send(Message::Relay(Box::new(submission), original, replies));
         receiver
     }
 
     /// Hands in a word that an upstream said of itself and that is not known.
-    pub(crate) fn unknown(&self, word: &str, upstream: &Arc<str>) {
-        self.tell(Message::Unknown(word.to_owned(), upstream.clone()));
+    pub(crate) fn report_unknown_header(&self, name: &str, upstream: &Arc<str>) {
+        self.send(Message::UnknownHeader(name.to_owned(), upstream.clone()));
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         // The core task ends only with the instance.
         let _ = self.sender.send(message);
     }
@@ -228,12 +234,12 @@
         traffic: Traffic,
     ) -> Self {
         Self {
-            crash_history: watch::channel(account::Known::default()).0,
             claims,
-            quarantine_updates: mpsc::unbounded_channel().0,
+            crash_history: watch::channel(account::Known::default()).0,
+            gossip: mpsc::unbounded_channel().0,
             leaving,
             meter,
-            gossip: mpsc::unbounded_channel().0,
+            quarantine_updates: mpsc::unbounded_channel().0,
             traffic,
         }
     }
@@ -241,24 +247,24 @@
 
 impl Task {
     async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut messages = Vec::with_capacity(BATCH);
+        let mut messages = Vec::with_capacity(BATCH_SIZE);
         loop {
             tokio::select! {
-                count = receiver.recv_many(&mut messages, BATCH) => {
+                count = receiver.recv_many(&mut messages, BATCH_SIZE) => {
                     if count == 0 {
                         return;
                     }
                     for message in messages.drain(..) {
-                        self.take(message);
+                        self.handle_message(message);
                     }
                 }
                 _ = ticks.tick() => {
                     if let Some(suspended_ms) = self.clock.notice() {
                         warn!(suspended_ms; "resumed");
                     }
-                    self.event(Event::Tick);
+                    self.handle_event(Event::Tick);
                 }
             }
         }
@@ -270,21 +276,9 @@
         }
     }
 
-    /// Carries out one decision.
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
-            Effect::ForwardResponse(caller) => {
-                if let Some(Held::Answer(answer)) = self.take_held(caller) {
-                    self.end(caller, Reply::Answer(answer));
-                }
-            }
-            Effect::LogUpstream {
-                change: belief,
-                born,
-                silent_ms,
-                upstream,
-            } => request_log::believe(belief, born, silent_ms, &upstream),
-            Effect::GossipLost(life) => self.tell_others(gossip::Told::Lost(life)),
+            Effect::AbortStream(caller) => self.finish_caller(caller, Reply::Abort),
             Effect::Cancel {
                 address,
                 attempt,
@@ -302,26 +296,22 @@
                     settle: claimer::Settle::Here(request),
                 });
             }
-            Effect::EndStream(caller) => self.end(caller, Reply::Close),
-            Effect::AbortStream(caller) => self.end(caller, Reply::Cut),
             Effect::Count(counter, count) => self.count(counter, count),
             Effect::Deliver {
                 caller,
                 cursor,
-                tokens: pieces,
                 position,
+                tokens,
             } => {
                 let reply = Reply::Tokens {
                     cursor,
-                    pieces,
                     position,
+                    tokens,
                 };
-                self.reply(caller, reply);
-            }
-            Effect::GossipDemand { demand, pressed } => {
-                self.tell_others(gossip::Told::Demand { demand, pressed });
+                self.send_reply(caller, reply);
             }
             Effect::Detach(attempt) => self.abort(attempt),
+            Effect::EndStream(caller) => self.finish_caller(caller, Reply::EndStream),
             Effect::Fail {
                 caller,
                 kind,
@@ -331,45 +321,60 @@
                     kind,
                     retry_after_ms,
                 };
-                self.end(caller, reply);
+                self.finish_caller(caller, reply);
             }
             Effect::Finish {
                 caller,
                 position,
                 reason,
-            } => self.end(caller, Reply::Finished { position, reason }),
-            Effect::GossipLeaving { life, upstream } => self.leaves(life, &upstream),
-            Effect::LogRequest(note) => request_log::write(&note),
-            Effect::GossipLimit { life, rate } => {
-                self.tell_others(gossip::Told::Limit { life, rate });
-            }
+            } => self.finish_caller(caller, Reply::Finished { position, reason }),
+            Effect::ForwardEvent { bytes, caller } => self.send_reply(caller, Reply::Event(bytes)),
             Effect::ForwardHead(caller) => {
-                if let Some(Held::Head(head)) = self.take_held(caller) {
-                    self.reply(caller, Reply::Open(head));
+                if let Some(HeldResponse::Head(head)) = self.take_held(caller) {
+                    self.send_reply(caller, Reply::Head(head));
+                }
+            }
+            Effect::ForwardResponse(caller) => {
+                if let Some(HeldResponse::Complete(response)) = self.take_held(caller) {
+                    self.finish_caller(caller, Reply::Response(response));
                 }
             }
-            Effect::GossipPace(pace) => self.tell_others(gossip::Told::Pace(pace)),
-            Effect::ForwardEvent { bytes, caller } => self.reply(caller, Reply::Pass(bytes)),
+            Effect::GossipDemand { demand, pressed } => {
+                self.gossip(gossip::Told::Demand { demand, pressed });
+            }
+            Effect::GossipLeaving { life, upstream } => self.notify(life, &upstream),
+            Effect::GossipLimit { life, rate } => {
+                self.gossip(gossip::Told::Limit { life, rate });
+            }
+            Effect::GossipLost(upstream) => self.gossip(gossip::Told::Lost(upstream)),
+            Effect::GossipPace(pace) => self.gossip(gossip::Told::Pace(pace)),
+            Effect::GossipStream(sighting) => self.gossip(gossip::Told::Stream(sighting)),
+            Effect::LogRequest(entry) => request_log::log_step(&entry),
+            Effect::LogUpstream {
+                born,
+                change,
+                silent_ms,
+                upstream,
+            } => request_log::log_upstream(change, born, silent_ms, &upstream),
+            Effect::Observe(timing, millis) => {
+                self.meter.time(meter::Timed::Core(timing), millis as f64);
+            }
             Effect::Probe { address, upstream } => {
                 let probe = probe::run(self.probes.clone(), self.driver.clone(), upstream, address);
                 tokio::spawn(probe);
             }
-            Effect::Quarantine(effect) => self.quarantine(effect),
+            Effect::Quarantine(effect) => self.execute_quarantine(effect),
             Effect::Reply {
                 body,
                 caller,
                 status,
-            } => self.end(caller, Reply::Body { body, status }),
+            } => self.finish_caller(caller, Reply::Body { body, status }),
             Effect::Send {
                 address,
                 attempt,
                 outbound,
                 upstream,
-            } => self.send(address, attempt, outbound, upstream),
-            Effect::GossipStream(sighting) => self.tell_others(gossip::Told::Stream(sighting)),
-            Effect::Observe(timing, millis) => {
-                self.meter.time(meter::Timed::Core(timing), millis as f64);
-            }
+            } => self.start_attempt(address, attempt, outbound, upstream),
         }
     }
 
@@ -381,55 +386,55 @@
     }
 
     /// Carries out a decision on requests that end their upstreams.
-    fn quarantine(&self, effect: effect::Quarantine) {
+    fn execute_quarantine(&self, effect: effect::Quarantine) {
         match effect {
             effect::Quarantine::CheckCrash { address, life } => {
                 tokio::spawn(check::run(self.driver.clone(), address, life));
             }
-            effect::Quarantine::Release { own, print } => {
-                request_log::free(print);
-                if own {
-                    self.keep(keeper::Kept::Nothing(print));
-                }
-            }
-            effect::Quarantine::Publish(account) => {
+            effect::Quarantine::Gossip(crashes) => self.gossip(gossip::Told::Ends(crashes)),
+            effect::Quarantine::Publish(history) => {
                 self.crash_history
-                    .send_replace(account::Known::new(account));
+                    .send_replace(account::Known::new(history));
             }
             effect::Quarantine::Refuse { ends, own, print } => {
-                request_log::quarantine(print, &ends, own);
+                request_log::log_quarantine(print, &ends, own);
+                if own {
+                    self.persist_quarantine(keeper::Kept::Ends(print, ends));
+                }
+            }
+            effect::Quarantine::Release { own, print } => {
+                request_log::log_release(print);
                 if own {
-                    self.keep(keeper::Kept::Ends(print, ends));
+                    self.persist_quarantine(keeper::Kept::Nothing(print));
                 }
             }
-            effect::Quarantine::Gossip(news) => self.tell_others(gossip::Told::Ends(news)),
         }
     }
 
-    fn keep(&self, kept: keeper::Kept) {
+    fn persist_quarantine(&self, update: keeper::Kept) {
         // Where nothing is kept, nobody listens.
-        let _ = self.quarantine_updates.send(kept);
+        let _ = self.quarantine_updates.send(update);
     }
 
     /// Has other instances told that an upstream is leaving, by the one way that there is to them.
-    fn leaves(&self, life: Incarnation, name: &str) {
-        self.tell_others(gossip::Told::Leaving(life));
+    fn notify(&self, incarnation: Incarnation, name: &str) {
+        self.gossip(gossip::Told::Leaving(incarnation));
         let now = Instant::now();
         self.leaving.send_modify(|leaving| {
-            leaving.retain(|_, heard| heard.elapsed() < LEAVING);
+            leaving.retain(|_, received_at| received_at.elapsed() < LEAVING_RETENTION);
             leaving.insert(name.to_owned(), now);
         });
     }
 
     /// Gives a caller the last step of its answer.
-    fn end(&mut self, caller: Caller, reply: Reply) {
-        if let Some(listener) = self.callers.remove(&caller) {
+    fn finish_caller(&mut self, caller: Caller, reply: Reply) {
+        if let Some(pending) = self.callers.remove(&caller) {
             // A caller that went away meanwhile needs no answer.
-            let _ = listener.replies.send(reply);
+            let _ = pending.replies.send(reply);
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         if let Event::CallerGone(caller) = &event {
             self.callers.remove(caller);
         }
@@ -442,28 +447,28 @@
             self.attempts.remove(attempt);
         }
         for effect in self.core.handle(self.clock.now(), event) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    fn reply(&self, caller: Caller, reply: Reply) {
-        if let Some(listener) = self.callers.get(&caller) {
+    fn send_reply(&self, caller: Caller, reply: Reply) {
+        if let Some(pending) = self.callers.get(&caller) {
             // A caller that went away meanwhile needs no answer.
-            let _ = listener.replies.send(reply);
+            let _ = pending.replies.send(reply);
         }
     }
 
-    fn tell_others(&self, told: gossip::Told) {
+    fn gossip(&self, message: gossip::Told) {
         // Where there are no other instances to tell, nobody listens.
-        let _ = self.gossip.send(told);
+        let _ = self.gossip.send(message);
     }
 
-    fn take_held(&mut self, caller: Caller) -> Option<Held> {
+    fn take_held(&mut self, caller: Caller) -> Option<HeldResponse> {
         self.callers.get_mut(&caller)?.held.take()
     }
 
     /// Starts the task that passes a relayed request on.
-    fn forward(
+    fn start_forward(
         &self,
         address: SocketAddr,
         attempt: attempt::Key,
@@ -484,16 +489,16 @@
             attempt,
             caller: *caller,
             driver: self.driver.clone(),
-            run: original.run.clone(),
+            request_id: original.request_id.clone(),
             streams: *streams,
             upstream,
             upstream_name: name.clone(),
         };
-        let request = original.request(address, outbound)?;
-        Some(tokio::spawn(exchange.run(self.relaying.clone(), request)))
+        let request = original.upstream_request(address, outbound)?;
+        Some(tokio::spawn(exchange.run(self.relays.clone(), request)))
     }
 
-    fn send(
+    fn start_attempt(
         &mut self,
         address: SocketAddr,
         attempt: attempt::Key,
@@ -511,19 +516,19 @@
                 let http = if repeatable {
                     &self.pooled
                 } else {
-                    &self.fresh
+                    &self.unpooled
                 };
                 plain::request(address, &path, &payload, request).map(|request| {
                     tokio::spawn(plain::run(http.clone(), driver, attempt, upstream, request))
                 })
             }
             outbound @ Outbound::Relay { .. } => {
-                self.forward(address, attempt, &outbound, upstream)
+                self.start_forward(address, attempt, &outbound, upstream)
             }
             outbound => {
                 let attach = matches!(outbound, Outbound::Attach { .. });
                 engine::request(address, outbound).map(|request| {
-                    let http = self.fresh.clone();
+                    let http = self.unpooled.clone();
                     tokio::spawn(engine::run(
                         http, driver, attempt, upstream, request, attach,
                     ))
@@ -555,44 +560,44 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Count(counter) => self.meter.count(counter, 1),
-            Message::Event(event) => self.event(event),
-            Message::Held(attempt, caller, held, event) => {
-                // What an abandoned attempt brought must not take the place of what is held.
-                if self.attempts.contains_key(&attempt)
-                    && let Some(listener) = self.callers.get_mut(&caller)
-                {
-                    listener.held = Some(held);
-                    self.event(event);
-                }
-            }
+            Message::Event(event) => self.handle_event(event),
             Message::Relay(submission, original, replies) => {
-                let listener = Listener {
+                let pending = PendingCaller {
                     held: None,
                     original: Some(original),
                     replies,
                 };
-                self.callers.insert(submission.caller, listener);
-                self.event(Event::Submit(submission));
+                self.callers.insert(submission.caller, pending);
+                self.handle_event(Event::Submit(submission));
+            }
+            Message::Response(attempt, caller, held, event) => {
+                // A late response of an aborted attempt must not replace the one that is held.
+                if self.attempts.contains_key(&attempt)
+                    && let Some(pending) = self.callers.get_mut(&caller)
+                {
+                    pending.held = Some(held);
+                    self.handle_event(event);
+                }
             }
             Message::Settings(settings) => self.core.configure(*settings),
             Message::Status(sender) => {
                 let _ = sender.send(self.status());
             }
-            Message::Submit(submission, sender) => {
-                let listener = Listener {
+            Message::Submit(submission, replies) => {
+                let pending = PendingCaller {
                     held: None,
                     original: None,
-                    replies: sender,
+                    replies,
                 };
-                self.callers.insert(submission.caller, listener);
-                self.event(Event::Submit(submission));
+                self.callers.insert(submission.caller, pending);
+                self.handle_event(Event::Submit(submission));
             }
-            Message::Unknown(word, upstream) => {
+            Message::UnknownHeader(name, upstream) => {
                 self.meter.count(Counter::NoticeUnknown, 1);
-                self.unknown.note(&word, &upstream);
+                self.unknown_headers.log_if_new(&name, &upstream);
             }
         }
     }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -11,17 +11,17 @@
 use wellplank_core::notice::{Backoff, Notice};
 
 /// Header by which an upstream that refuses says that it is leaving.
-pub(crate) const LEAVING: &str = "x-leaving";
+const LEAVING_HEADER: &str = "x-leaving";
 
 /// Time that a cancelled stream's engine has to answer.
-const CANCEL: Duration = Duration::from_secs(1);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One event of a stream.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     choices: Vec<Choice>,
     /// The engine's load now, in some of the events.
-    load: Option<probe::Report>,
+    load: Option<probe::LoadReport>,
     position: u32,
 }
 
@@ -41,9 +41,9 @@
     address: SocketAddr,
     stream: wellplank_core::effect::Stream,
 ) {
-    let path = format!("/v1/completions/{}/cancel", name(stream));
+    let path = format!("/v1/completions/{}/cancel", stream_id(stream));
     let request = http::post(address, &path, &json!({}));
-    let _ = timeout(CANCEL, http.exchange(request)).await;
+    let _ = timeout(CANCEL_TIMEOUT, http.exchange(request)).await;
 }
 
 /// Reads a stream to its end and tells the core task what comes.
@@ -59,14 +59,14 @@
         Err(http::Error::NotSent(_)) => Failure::NotSent,
         Err(http::Error::Broken(_)) => Failure::Broken,
         Ok(response) if response.status() == StatusCode::OK => {
-            if read(&driver, attempt, response.into_body()).await {
+            if read_stream(&driver, attempt, response.into_body()).await {
                 return;
             }
             Failure::Broken
         }
         Ok(response) => {
-            tell(&driver, attempt, upstream, &response);
-            refusal(&response, attach)
+            report_backoff(&driver, attempt, upstream, &response);
+            classify_error(&response, attach)
         }
     };
     driver.send_event(Event::Failed { attempt, failure });
@@ -76,8 +76,8 @@
 pub(crate) fn request(address: SocketAddr, outbound: Outbound) -> Option<Request<http::Body>> {
     match outbound {
         Outbound::Attach { position, stream } => {
-            let name = name(stream);
-            let path = format!("/v1/completions/{name}?starting_after={position}");
+            let id = stream_id(stream);
+            let path = format!("/v1/completions/{id}?starting_after={position}");
             Some(http::get(address, &path))
         }
         Outbound::Call { .. } | Outbound::Relay { .. } => None,
@@ -99,7 +99,7 @@
             body.insert("model".into(), model.name.clone().into());
             body.insert("priority".into(), (priority as u8).into());
             body.insert("stream".into(), true.into());
-            body.insert("stream_id".into(), name(stream).into());
+            body.insert("stream_id".into(), stream_id(stream).into());
             body.insert("version".into(), model.version.clone().into());
             Some(http::post(address, "/v1/completions", &body.into()))
         }
@@ -107,14 +107,14 @@
 }
 
 /// Tells the core task for how long the upstream that gave a refusal wants nothing.
-pub(crate) fn tell<B>(
+pub(crate) fn report_backoff<B>(
     driver: &Driver,
     attempt: attempt::Key,
     upstream: upstream::Key,
     response: &hyper::Response<B>,
 ) {
     let value = response.headers().get(header::RETRY_AFTER);
-    if let Some(value) = value.filter(|_| refuses(response.status())) {
+    if let Some(value) = value.filter(|_| is_refusal(response.status())) {
         let notice = Notice {
             backoff: value.to_str().map_or(Backoff::Malformed, Backoff::parse),
             ..Notice::default()
@@ -128,7 +128,7 @@
 }
 
 /// Whether a status says that nothing was run for want of room.
-pub(crate) fn refuses(status: StatusCode) -> bool {
+pub(crate) fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -136,24 +136,24 @@
 }
 
 /// What a refusal means for the request.
-pub(crate) fn refusal<B>(response: &hyper::Response<B>, attach: bool) -> Failure {
-    let leaving = response.headers().contains_key(LEAVING);
+pub(crate) fn classify_error<B>(response: &hyper::Response<B>, attach: bool) -> Failure {
+    let leaving = response.headers().contains_key(LEAVING_HEADER);
     match response.status() {
         StatusCode::SERVICE_UNAVAILABLE if leaving => Failure::Leaving,
-        status if refuses(status) => Failure::Refused,
+        status if is_refusal(status) => Failure::Refused,
         StatusCode::NOT_FOUND if attach => Failure::UnknownStream,
         status if status.is_client_error() => Failure::Rejected,
         _ => Failure::Broken,
     }
 }
 
-fn name(stream: wellplank_core::effect::Stream) -> String {
+fn stream_id(stream: wellplank_core::effect::Stream) -> String {
     let generation = Uuid::from_u128(stream.generation);
     format!("{generation}.{}", stream.number)
 }
 
 /// Reads events until the end; false if the stream ends before it should.
-async fn read(driver: &Driver, attempt: attempt::Key, body: hyper::body::Incoming) -> bool {
+async fn read_stream(driver: &Driver, attempt: attempt::Key, body: hyper::body::Incoming) -> bool {
     let mut events = SseStream::new(body);
     while let Some(Ok(event)) = events.next().await {
         let Some(data) = event.data else { continue };
@@ -168,7 +168,7 @@
         if !choice.token_ids.is_empty() {
             driver.send_event(Event::Tokens {
                 attempt,
-                tokens: pieces(&choice.token_ids, choice.text),
+                tokens: output_tokens(&choice.token_ids, choice.text),
                 position,
             });
         }
@@ -189,16 +189,16 @@
 }
 
 /// Tokens with their text; the text of several tokens goes with the last of them.
-fn pieces(tokens: &[u32], text: String) -> Vec<OutputToken> {
-    let mut pieces: Vec<OutputToken> = tokens
+fn output_tokens(ids: &[u32], text: String) -> Vec<OutputToken> {
+    let mut tokens: Vec<OutputToken> = ids
         .iter()
-        .map(|token| OutputToken {
+        .map(|id| OutputToken {
+            id: *id,
             text: String::new(),
-            id: *token,
         })
         .collect();
-    if let Some(last) = pieces.last_mut() {
+    if let Some(last) = tokens.last_mut() {
         last.text = text;
     }
-    pieces
+    tokens
 }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -6,7 +6,7 @@
 
 /// A request as its caller sent it.
 #[derive(Debug)]
-pub(crate) struct Original {
+pub(crate) struct OriginalRequest {
     /// Body.
     pub body: Bytes,
     /// Headers.
@@ -14,7 +14,7 @@
     /// Method.
     pub method: hyper::Method,
     /// Name of the run at upstreams.
-    pub run: Arc<str>,
+    pub request_id: Arc<str>,
     /// Path with query.
     pub target: String,
 }
@@ -30,7 +30,7 @@
 
 /// Whole answer of an upstream.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct CompleteResponse {
     /// Body.
     pub body: Bytes,
     /// Head.
@@ -46,7 +46,7 @@
     /// The core task.
     pub driver: Driver,
     /// Name of the run, which the answer must bear.
-    pub run: Arc<str>,
+    pub request_id: Arc<str>,
     /// Whether the answer is a series of events.
     pub streams: bool,
     /// The upstream.
@@ -55,9 +55,9 @@
     pub upstream_name: Arc<str>,
 }
 
-impl Original {
+impl OriginalRequest {
     /// The request to an upstream; `None` if its path makes no address.
-    pub fn request(
+    pub fn upstream_request(
         &self,
         address: SocketAddr,
         outbound: &Outbound,
@@ -74,9 +74,9 @@
         else {
             return None;
         };
-        let forward = platform::request::ForwardHeaders {
+        let forward_headers = platform::request::ForwardHeaders {
             backup: *backup,
-            copy: copy.as_deref().map(|run| (address, run)),
+            copy: copy.as_deref().map(|request_id| (address, request_id)),
             customer: customer.as_deref(),
             left_ms: *left_ms,
             position: *position,
@@ -87,7 +87,8 @@
             .uri(format!("http://{address}{}", self.target))
             .body(http::Body::from(self.body.clone()))
             .ok()?;
-        *request.headers_mut() = platform::request::upstream_headers(&self.headers, &forward);
+        *request.headers_mut() =
+            platform::request::upstream_headers(&self.headers, &forward_headers);
         Some(request)
     }
 }
@@ -109,14 +110,18 @@
             http::Error::NotSent(_) => Failure::NotSent,
         })?;
         let (parts, body) = response.into_parts();
-        let classification =
-            platform::response::classify(parts.status, &parts.headers, &self.run, self.streams);
-        let marked = parts.headers.contains_key(header::TRANSFER_ENCODING)
+        let classification = platform::response::classify(
+            parts.status,
+            &parts.headers,
+            &self.request_id,
+            self.streams,
+        );
+        let has_end_marker = parts.headers.contains_key(header::TRANSFER_ENCODING)
             || parts.headers.contains_key(header::CONTENT_LENGTH);
-        let notice = platform::response::notice(parts.status, &parts.headers, &self.run);
-        self.tell(parts.status, notice);
-        for word in platform::response::unknown_headers(&parts.headers) {
-            self.driver.unknown(word, &self.upstream_name);
+        let notice = platform::response::notice(parts.status, &parts.headers, &self.request_id);
+        self.report_notice(parts.status, notice);
+        for name in platform::response::unknown_headers(&parts.headers) {
+            self.driver.report_unknown_header(name, &self.upstream_name);
         }
         let head = Head {
             headers: platform::request::end_to_end(&parts.headers),
@@ -126,13 +131,14 @@
             Classification::Failed(failure) => Err(failure),
             Classification::Stream => {
                 let event = Event::StreamOpened(self.attempt);
-                let held = driver::Held::Head(Box::new(head));
-                self.driver.hold(self.attempt, self.caller, held, event);
-                self.stream(body, marked).await
+                let held = driver::HeldResponse::Head(Box::new(head));
+                self.driver
+                    .hold_response(self.attempt, self.caller, held, event);
+                self.read_stream(body, has_end_marker).await
             }
             Classification::Unary(verdict) => {
                 let body = body.collect().await.map_err(|_| Failure::Broken)?;
-                let answer = Answer {
+                let response = CompleteResponse {
                     body: body.to_bytes(),
                     head,
                 };
@@ -140,17 +146,18 @@
                     attempt: self.attempt,
                     verdict,
                 };
-                let held = driver::Held::Answer(Box::new(answer));
-                self.driver.hold(self.attempt, self.caller, held, event);
+                let held = driver::HeldResponse::Complete(Box::new(response));
+                self.driver
+                    .hold_response(self.attempt, self.caller, held, event);
                 Ok(())
             }
         }
     }
 
     /// Tells the core task what the upstream says of itself beside its answer, before anything of the answer goes on.
-    fn tell(&self, status: StatusCode, notice: Notice) {
+    fn report_notice(&self, status: StatusCode, notice: Notice) {
         if !notice.is_plain() {
-            request_log::notice(&self.run, &self.upstream_name, status, &notice);
+            request_log::log_notice(&self.request_id, &self.upstream_name, status, &notice);
         }
         if notice != Notice::default() {
             self.driver.send_event(Event::NoticeReceived {
@@ -163,7 +170,11 @@
 
     /// Reads events up to the end, which the answer marks if it has a length or comes in chunks. What is
     /// left behind the last whole event is dropped.
-    async fn stream(&self, mut body: hyper::body::Incoming, marked: bool) -> Result<(), Failure> {
+    async fn read_stream(
+        &self,
+        mut body: hyper::body::Incoming,
+        has_end_marker: bool,
+    ) -> Result<(), Failure> {
         let mut buffer = Vec::new();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| Failure::Broken)?;
@@ -186,7 +197,7 @@
         }
         self.driver.send_event(Event::StreamEnded {
             attempt: self.attempt,
-            marked,
+            marked: has_end_marker,
         });
         Ok(())
     }
@@ -194,7 +205,9 @@
 
 /// Where the first event of a buffer ends, with the empty line behind it.
 fn event_end(buffer: &[u8]) -> Option<usize> {
-    const END: &[u8] = b"\n\n";
-    let start = buffer.windows(END.len()).position(|bytes| bytes == END)?;
-    Some(start + END.len())
+    const DELIMITER: &[u8] = b"\n\n";
+    let start = buffer
+        .windows(DELIMITER.len())
+        .position(|bytes| bytes == DELIMITER)?;
+    Some(start + DELIMITER.len())
 }
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Header that names the request in the service's logs.
-const REQUEST: &str = "x-request-id";
+const REQUEST_ID: &str = "x-request-id";
 
 /// Sends one call and tells the core task the answer.
 pub(crate) async fn run(
@@ -14,18 +14,18 @@
     request: Request<http::Body>,
 ) {
     let response = match http.send(request).await {
-        Err(http::Error::NotSent(_)) => return fail(&driver, attempt, Failure::NotSent),
-        Err(http::Error::Broken(_)) => return fail(&driver, attempt, Failure::Broken),
+        Err(http::Error::NotSent(_)) => return report_failure(&driver, attempt, Failure::NotSent),
+        Err(http::Error::Broken(_)) => return report_failure(&driver, attempt, Failure::Broken),
         Ok(response) => response,
     };
     let status = response.status();
-    if engine::refuses(status) {
-        engine::tell(&driver, attempt, upstream, &response);
-        let failure = engine::refusal(&response, false);
-        return fail(&driver, attempt, failure);
+    if engine::is_refusal(status) {
+        engine::report_backoff(&driver, attempt, upstream, &response);
+        let failure = engine::classify_error(&response, false);
+        return report_failure(&driver, attempt, failure);
     }
     match response.into_body().collect().await {
-        Err(_) => fail(&driver, attempt, Failure::Broken),
+        Err(_) => report_failure(&driver, attempt, Failure::Broken),
         Ok(body) => driver.send_event(Event::Replied {
             attempt,
             body: body.to_bytes().to_vec(),
@@ -37,19 +37,19 @@
 /// The request of a call; `path` is the method and the path.
 pub(crate) fn request(
     address: SocketAddr,
-    path: &str,
+    method_and_path: &str,
     payload: &[u8],
-    id: u128,
+    request_id: u128,
 ) -> Option<Request<http::Body>> {
-    let (method, path) = path.split_once(' ')?;
+    let (method, path) = method_and_path.split_once(' ')?;
     Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
-        .header(REQUEST, Uuid::from_u128(id).to_string())
+        .header(REQUEST_ID, Uuid::from_u128(request_id).to_string())
         .body(http::Body::from(payload.to_vec()))
         .ok()
 }
 
-fn fail(driver: &Driver, attempt: attempt::Key, failure: Failure) {
+fn report_failure(driver: &Driver, attempt: attempt::Key, failure: Failure) {
     driver.send_event(Event::Failed { attempt, failure });
 }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// Time after which a probe is not waited for; the core gives up on it earlier.
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A load report, as upstreams answer a probe and engines may add it to the events of a stream.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub(crate) struct Report {
+pub(crate) struct LoadReport {
     #[serde(default)]
     leaving: bool,
     running: u32,
@@ -15,7 +15,7 @@
     waiting: u32,
 }
 
-impl Report {
+impl LoadReport {
     /// The report as the core takes it.
     pub fn load(self) -> Load {
         Load {
@@ -30,9 +30,9 @@
 /// Probes an upstream and tells the core task what it said.
 pub(crate) async fn run(http: Http, driver: Driver, upstream: upstream::Key, address: SocketAddr) {
     let exchange = http.exchange(http::get(address, "/load"));
-    let answer = timeout(PATIENCE, exchange).await;
-    let report = match answer {
-        Ok(Ok((StatusCode::OK, body))) => serde_json::from_slice::<Report>(&body).ok(),
+    let result = timeout(TIMEOUT, exchange).await;
+    let report = match result {
+        Ok(Ok((StatusCode::OK, body))) => serde_json::from_slice::<LoadReport>(&body).ok(),
         _ => None,
     };
     let alive = report.is_some();
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,27 +1,27 @@
 //! Callers' requests that are passed on as they are, and the answers that they get.
 
 use super::*;
-use caller::Guard;
+use caller::CallerGuard;
 
 /// Time after a signal to stop up to which long requests are still taken: the balancer sends new
 /// callers for two of its looks, one second apart.
-const LONG_TAKEN: Duration = Duration::from_millis(2_500);
+const LONG_REQUEST_WINDOW: Duration = Duration::from_millis(2_500);
 
 /// When a caller is asked to come back that met an instance about to stop, in milliseconds: at once,
 /// since it will meet another one.
-const STOPPING_RETRY_MS: u64 = 50;
+const SHUTDOWN_RETRY_MS: u64 = 50;
 
 /// Time before the end of a stopping instance from which on nothing new is taken: what short requests
 /// may take.
-const SHORT_TAKEN: Duration = Duration::from_millis(1_700);
+const SHORT_REQUEST_RESERVE: Duration = Duration::from_millis(1_700);
 
 /// A planned stop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
+    /// When the instance exits at the latest.
+    pub deadline: Instant,
     /// When it began.
     pub started_at: Instant,
-    /// When the instance ends at the latest.
-    pub deadline: Instant,
 }
 
 /// The planned stop; `None` while there is none.
@@ -29,9 +29,10 @@
 
 impl Shutdown {
     /// Whether a new request could still be answered.
-    fn accepts(self, long: bool) -> bool {
+    fn accepts(self, is_long: bool) -> bool {
         let left = self.deadline.saturating_duration_since(Instant::now());
-        left > SHORT_TAKEN && (!long || self.started_at.elapsed() <= LONG_TAKEN)
+        left > SHORT_REQUEST_RESERVE
+            && (!is_long || self.started_at.elapsed() <= LONG_REQUEST_WINDOW)
     }
 }
 
@@ -50,8 +51,8 @@
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         if let Err(kind) = self.relay(request, response).await {
             self.driver.count(Counter::Refused(kind));
-            let run = platform::request::request_id(request.headers());
-            refuse(response, run.unwrap_or_default(), kind, None);
+            let request_id = platform::request::request_id(request.headers());
+            write_error(response, request_id.unwrap_or_default(), kind, None);
         }
         if self.shutdown.borrow().is_some() {
             let close = header::HeaderValue::from_static("close");
@@ -70,90 +71,95 @@
         if http::size(request.headers()) > limits.max_header_bytes {
             return Err(Kind::HeadTooLarge);
         }
-        let body = body(request, limits).await?;
+        let body = read_body(request, limits).await?;
         let uri = request.uri();
-        let asked = platform::request::parse(uri.path(), uri.query(), request.headers(), &body);
-        let asked = asked.map_err(|error| {
+        let parsed = platform::request::parse(uri.path(), uri.query(), request.headers(), &body);
+        let parsed = parsed.map_err(|error| {
             debug!("request: {error}");
             Kind::BadBody
         })?;
-        let long = asked.relay.prompt != 0;
+        let is_long = parsed.relay.prompt != 0;
         let shutdown = *self.shutdown.borrow();
-        if shutdown.is_some_and(|shutdown| !shutdown.accepts(long)) {
+        if shutdown.is_some_and(|shutdown| !shutdown.accepts(is_long)) {
             self.driver.count(Counter::Refused(Kind::NotReady));
-            let run = &asked.relay.run;
-            refuse(response, run, Kind::NotReady, Some(STOPPING_RETRY_MS));
+            let request_id = &parsed.relay.run;
+            write_error(
+                response,
+                request_id,
+                Kind::NotReady,
+                Some(SHUTDOWN_RETRY_MS),
+            );
             return Ok(());
         }
-        let original = forward::Original {
+        let original = forward::OriginalRequest {
             body,
             headers: request.headers().clone(),
             method: request.method().clone(),
-            run: asked.relay.run.clone(),
+            request_id: parsed.relay.run.clone(),
             target: uri
                 .path_and_query()
                 .map_or_else(String::new, ToString::to_string),
         };
-        let caller = self.driver.caller();
-        let guard = Guard::new(caller, &self.driver);
+        let caller = self.driver.new_caller();
+        let guard = CallerGuard::new(caller, &self.driver);
         let submission = Submission {
             caller,
             cursor: None,
-            customer: asked.customer,
-            fingerprint: asked.fingerprint,
+            customer: parsed.customer,
+            fingerprint: parsed.fingerprint,
             generation: Uuid::now_v7().as_u128(),
             key: None,
             received: None,
             service: String::new(),
-            work: Work::Relay(asked.relay),
+            work: Work::Relay(parsed.relay),
         };
-        let run = original.run.clone();
-        let replies = self.driver.relay(submission, original);
-        answer(&run, replies, guard, response).await;
+        let request_id = original.request_id.clone();
+        let replies = self.driver.submit_relay(submission, original);
+        respond(&request_id, replies, guard, response).await;
         Ok(())
     }
 }
 
 /// The whole body of a request, within the limits.
-async fn body(
+async fn read_body(
     request: &mut salvo::Request,
     limits: platform::configuration::Limits,
 ) -> Result<Bytes, Kind> {
-    let read = request.payload_with_max_size(limits.max_body_bytes);
-    let Ok(read) = timeout(limits.header_timeout, read).await else {
+    let body = request.payload_with_max_size(limits.max_body_bytes);
+    let Ok(body) = timeout(limits.header_timeout, body).await else {
         return Err(Kind::SlowBody);
     };
-    read.cloned().map_err(|error| match error {
+    body.cloned().map_err(|error| match error {
         salvo::http::ParseError::PayloadTooLarge => Kind::TooLarge,
         _ => Kind::BadBody,
     })
 }
 
 /// Gives a caller its answer as it comes.
-async fn answer(
-    run: &str,
+async fn respond(
+    request_id: &str,
     mut replies: mpsc::UnboundedReceiver<Reply>,
-    mut guard: Guard,
+    mut guard: CallerGuard,
     response: &mut salvo::Response,
 ) {
     match replies.recv().await {
-        Some(Reply::Answer(answer)) => {
-            guard.ended = true;
-            write_head(response, answer.head);
-            response.body(salvo::http::ResBody::Once(answer.body));
+        Some(Reply::Response(upstream_response)) => {
+            guard.is_finished = true;
+            write_head(response, upstream_response.head);
+            response.body(salvo::http::ResBody::Once(upstream_response.body));
         }
         Some(Reply::Failed {
             kind,
             retry_after_ms,
         }) => {
-            guard.ended = true;
-            refuse(response, run, kind, retry_after_ms);
+            guard.is_finished = true;
+            write_error(response, request_id, kind, retry_after_ms);
         }
-        Some(Reply::Open(head)) => {
+        Some(Reply::Head(head)) => {
             write_head(response, *head);
             response.stream(events(replies, guard));
         }
-        _ => refuse(response, run, Kind::Internal, None),
+        _ => write_error(response, request_id, Kind::Internal, None),
     }
 }
 
@@ -161,30 +167,30 @@
 /// error, which breaks the caller's connection.
 fn events(
     replies: mpsc::UnboundedReceiver<Reply>,
-    guard: Guard,
+    guard: CallerGuard,
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
     futures_util::stream::unfold(
         (replies, guard, false),
-        |(mut replies, mut guard, mut cut)| async move {
-            if cut {
+        |(mut replies, mut guard, mut is_aborted)| async move {
+            if is_aborted {
                 let error = std::io::Error::other("the stream can not go on");
                 return Some((Err(error), (replies, guard, false)));
             }
-            if guard.ended {
+            if guard.is_finished {
                 return None;
             }
             let mut bytes = Vec::new();
             let mut next = replies.recv().await;
             loop {
                 match next {
-                    Some(Reply::Pass(event)) => bytes.extend_from_slice(&event),
-                    Some(Reply::Close) => {
-                        guard.ended = true;
+                    Some(Reply::Event(event)) => bytes.extend_from_slice(&event),
+                    Some(Reply::EndStream) => {
+                        guard.is_finished = true;
                         break;
                     }
                     _ => {
-                        guard.ended = true;
-                        cut = true;
+                        guard.is_finished = true;
+                        is_aborted = true;
                         break;
                     }
                 }
@@ -193,27 +199,32 @@
                     Err(_) => break,
                 }
             }
-            if bytes.is_empty() && cut {
+            if bytes.is_empty() && is_aborted {
                 let error = std::io::Error::other("the stream can not go on");
                 return Some((Err(error), (replies, guard, false)));
             }
             if bytes.is_empty() {
                 return None;
             }
-            Some((Ok(Bytes::from(bytes)), (replies, guard, cut)))
+            Some((Ok(Bytes::from(bytes)), (replies, guard, is_aborted)))
         },
     )
 }
 
 /// Gives an error as the whole answer to the request named `run`; the time to come back has fractions
 /// of seconds.
-fn refuse(response: &mut salvo::Response, run: &str, kind: Kind, retry_after_ms: Option<u64>) {
+fn write_error(
+    response: &mut salvo::Response,
+    request_id: &str,
+    kind: Kind,
+    retry_after_ms: Option<u64>,
+) {
     let answer = kind.answer();
-    let (request, kind_name, status) = (run, answer.name, answer.status);
-    let ran = matches!(answer.ran, Ran::Maybe);
-    let come_back_ms = retry_after_ms.unwrap_or(0);
-    warn!(request, kind = kind_name, status, may_have_run = ran, come_back_ms; "error answered");
-    caller::refuse(response, kind, None);
+    let (kind_name, status) = (answer.name, answer.status);
+    let may_have_run = matches!(answer.ran, Ran::Maybe);
+    let retry_ms = retry_after_ms.unwrap_or(0);
+    warn!(request = request_id, kind = kind_name, status, may_have_run, come_back_ms = retry_ms; "error answered");
+    caller::write_error(response, kind, None);
     if let Some(millis) = retry_after_ms {
         let seconds = platform::response::retry_after(millis);
         let _ = response.add_header(header::RETRY_AFTER, seconds, true);
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 pub(crate) enum Reply {
     /// An upstream's whole answer, passed on as it is.
-    Answer(Box<forward::Answer>),
+    Abort,
     /// A plain service's answer.
     Body {
         /// Body.
@@ -15,9 +15,9 @@
         status: u16,
     },
     /// A relayed stream is whole.
-    Close,
+    EndStream,
     /// A relayed stream ends without being whole.
-    Cut,
+    Event(Arc<[u8]>),
     /// The final answer is an error.
     Failed {
         /// Why.
@@ -27,22 +27,22 @@
     },
     /// The generation is whole.
     Finished {
+        /// Number of tokens in the whole answer.
+        position: u32,
         /// Why the engine stopped.
         reason: String,
-        /// Tokens of the answer.
-        position: u32,
     },
     /// A relayed stream begins with this head.
-    Open(Box<forward::Head>),
+    Head(Box<forward::Head>),
     /// One event of a relayed stream.
-    Pass(Arc<[u8]>),
+    Response(Box<forward::CompleteResponse>),
     /// Tokens.
     Tokens {
         /// Encoded cursor after them.
         cursor: [u8; cursor::LENGTH],
-        /// The tokens.
-        pieces: Vec<OutputToken>,
         /// Position of the first of them.
         position: u32,
+        /// The tokens.
+        tokens: Vec<OutputToken>,
     },
 }
--- a/crates/node/src/request_log.rs
+++ b/crates/node/src/request_log.rs
@@ -9,58 +9,64 @@
 };
 
 /// Writes the line of a change in what is believed of an upstream.
-pub(crate) fn believe(belief: StatusChange, born: u64, silent_ms: u64, upstream: &str) {
-    let belief = belief.name();
-    info!(upstream, born, belief, silent_ms; "upstream");
+pub(crate) fn log_upstream(change: StatusChange, born: u64, silent_ms: u64, upstream: &str) {
+    let change = change.name();
+    info!(upstream, born, belief = change, silent_ms; "upstream");
 }
 
 /// Writes the line of what an upstream said of itself beside an answer.
-pub(crate) fn notice(request: &str, upstream: &str, status: StatusCode, notice: &Notice) {
+pub(crate) fn log_notice(request: &str, upstream: &str, status: StatusCode, notice: &Notice) {
     let status = status.as_u16();
     let leaving = notice.leaving;
-    let (rest_ms, odd) = match notice.backoff {
+    let (backoff_ms, is_malformed) = match notice.backoff {
         Backoff::For(millis) => (millis, false),
         Backoff::None => (0, false),
         Backoff::Malformed => (0, true),
     };
-    let (limit, odd) = match notice.limit {
-        Limit::None | Limit::Unknown => (None, odd),
+    let (limit, is_malformed) = match notice.limit {
+        Limit::None | Limit::Unknown => (None, is_malformed),
         Limit::Malformed => (None, true),
-        Limit::Rate(rate) => (Some(rate.per_second()), odd),
+        Limit::Rate(rate) => (Some(rate.per_second()), is_malformed),
     };
-    info!(request, upstream, status, leaving, limit, rest_ms, odd; "upstream said");
+    info!(request, upstream, status, leaving, limit, rest_ms = backoff_ms, odd = is_malformed; "upstream said");
 }
 
 /// Writes the line of a request that is refused from now on, with the upstreams that ended under it, by the hashes of their
 /// names, and whether this instance saw one of them end.
-pub(crate) fn quarantine(print: RequestFingerprint, ends: &CrashHistory, own: bool) {
-    let fingerprint = print.to_string();
-    let lives = ends.crashes();
-    let upstreams: Vec<String> = lives.map(|(life, _)| life.to_string()).collect();
+pub(crate) fn log_quarantine(
+    fingerprint: RequestFingerprint,
+    crashes: &CrashHistory,
+    witnessed: bool,
+) {
+    let fingerprint = fingerprint.to_string();
+    let crashes = crashes.crashes();
+    let upstreams: Vec<String> = crashes
+        .map(|(incarnation, _)| incarnation.to_string())
+        .collect();
     let upstreams = upstreams.join(",");
-    warn!(fingerprint, upstreams, own; "quarantined");
+    warn!(fingerprint, upstreams, own = witnessed; "quarantined");
 }
 
 /// Writes the line of a request that is no longer refused.
-pub(crate) fn free(print: RequestFingerprint) {
-    let fingerprint = print.to_string();
+pub(crate) fn log_release(fingerprint: RequestFingerprint) {
+    let fingerprint = fingerprint.to_string();
     info!(fingerprint; "no longer quarantined");
 }
 
 /// Writes the line of a step. Relayed requests have the name that their caller gave them.
-pub(crate) fn write(note: &RequestLog) {
-    let own = || Uuid::from_u128(note.generation).to_string();
-    let request = note.run.as_deref().map_or_else(own, str::to_owned);
-    let customer = note.customer.name.as_str();
-    let model = match &note.service.target {
+pub(crate) fn log_step(entry: &RequestLog) {
+    let generation = || Uuid::from_u128(entry.generation).to_string();
+    let request = entry.run.as_deref().map_or_else(generation, str::to_owned);
+    let customer = entry.customer.name.as_str();
+    let model = match &entry.service.target {
         config::Target::Call { .. } | config::Target::Relay(_) => "",
         config::Target::Generate { model, .. } => model.name.as_str(),
     };
-    let service = note.service.name.as_str();
-    let upstream = note.upstream.as_deref().unwrap_or_default();
-    let position = note.position;
-    let fingerprint = note.print.to_string();
-    match &note.step {
+    let service = entry.service.name.as_str();
+    let upstream = entry.upstream.as_deref().unwrap_or_default();
+    let position = entry.position;
+    let fingerprint = entry.print.to_string();
+    match &entry.step {
         Step::Answered => {
             info!(request, fingerprint, customer, service, model, upstream, position; "answered");
         }
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -5,10 +5,10 @@
 
 /// Bytes and messages counted so far; clones share them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Traffic(Arc<Counts>);
+pub(crate) struct Traffic(Arc<Counters>);
 
 #[derive(Debug, Default)]
-struct Counts {
+struct Counters {
     bytes: AtomicU64,
     messages: AtomicU64,
 }
--- a/crates/node/src/unknown_headers.rs
+++ b/crates/node/src/unknown_headers.rs
@@ -4,10 +4,10 @@
 use super::*;
 
 /// Words that are told of, at most: names are the upstreams' to choose.
-const MOST: usize = 32;
+const MAX_NAMES: usize = 32;
 
 /// Bytes of a word that are told.
-const LENGTH: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// Words that were told of.
 #[derive(Debug, Default)]
@@ -15,10 +15,10 @@
 
 impl UnknownHeaders {
     /// Writes a line of a word if it is a new one.
-    pub fn note(&mut self, word: &str, upstream: &str) {
-        let word = word.get(..LENGTH).unwrap_or(word);
-        if self.0.len() < MOST && self.0.insert(word.to_owned()) {
-            warn!(word, upstream; "upstream said something unknown");
+    pub fn log_if_new(&mut self, name: &str, upstream: &str) {
+        let name = name.get(..MAX_NAME_BYTES).unwrap_or(name);
+        if self.0.len() < MAX_NAMES && self.0.insert(name.to_owned()) {
+            warn!(word = name, upstream; "upstream said something unknown");
         }
     }
 }
