--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -1,20 +1,20 @@
-//! The callers' side: what completions and calls of plain services have in common.
+//! The HTTP interface for callers: routes, and what completions and calls of plain services have in common.
 
 use super::*;
 
 /// Header with the caller's idempotency key, a `UUIDv7`.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Header with the cursor of the last event received.
+/// Header with the cursor of the last event that the caller received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
-/// `GET /ready`: whether the balancer shall send new callers here.
+/// `GET /ready`: tells the load balancer whether to send new callers to this instance.
 struct Readiness {
     driver: Driver,
     stopping: Arc<AtomicBool>,
 }
 
-/// What is asked of an [`Endpoint`].
+/// Operation that an [`Endpoint`] serves.
 #[derive(Clone, Copy)]
 enum Operation {
     /// `/services/{service}/...`: a call of a plain service.
@@ -23,54 +23,54 @@
     Completion,
 }
 
-/// An endpoint that hands requests to the core.
+/// An endpoint that submits requests to the core.
 struct Endpoint {
     operation: Operation,
     submitter: Submitter,
 }
 
-/// Takes requests in for the core.
+/// Submits requests to the core.
 #[derive(Clone)]
 pub(crate) struct Submitter {
     driver: Driver,
     max_body_bytes: usize,
 }
 
-/// A request handed to the core.
+/// A request that was submitted to the core.
 pub(crate) struct Submitted {
-    /// Held while its answer is not whole.
+    /// Reports a disconnect of the caller to the core.
     pub guard: CallerGuard,
-    /// Its answer.
+    /// Replies of the core.
     pub replies: mpsc::UnboundedReceiver<Reply>,
 }
 
-/// What a request asks, and what binds its cursors and claims.
+/// The part of a request that depends on the operation.
 pub(crate) struct ParsedRequest {
-    /// Digest of service and body.
+    /// Digest of service and body, which binds cursors and claims to the request.
     pub fingerprint: u64,
-    /// Tokens that a caller who comes back has.
+    /// Tokens that the caller has already received; `None` if it did not send them.
     pub received_tokens: Option<Vec<u32>>,
-    /// What is asked.
+    /// Requested operation.
     pub work: Work,
 }
 
-/// What the headers of a request say.
+/// Parsed headers of a request.
 pub(crate) struct RequestHeaders {
     cursor: Option<Vec<u8>>,
     customer: String,
     idempotency_key: Option<u128>,
 }
 
-/// Tells the core that a caller is gone when its task ends before the answer.
+/// Reports to the core that a caller disconnected if it is dropped before the response is complete.
 pub(crate) struct CallerGuard {
     caller: Caller,
     driver: Driver,
-    /// Whether the last step of the answer has come.
+    /// Whether the last reply has arrived.
     pub is_finished: bool,
 }
 
 impl CallerGuard {
-    /// A guard of a caller whose answer has not come yet.
+    /// A guard for a caller that awaits its response.
     pub fn new(caller: Caller, driver: &Driver) -> Self {
         Self {
             caller,
@@ -88,7 +88,7 @@
     }
 }
 
-/// The routes of the callers' side.
+/// The routes of the interface for callers.
 pub(crate) fn router(settings: &Settings, driver: &Driver, stopping: &Arc<AtomicBool>) -> Router {
     let endpoint = |operation| Endpoint {
         operation,
@@ -107,7 +107,7 @@
         .push(Router::with_path("services/{service}/{**path}").goal(endpoint(Operation::Call)))
 }
 
-/// Digest of a service's name and what is asked of it, which binds cursors and claims.
+/// Digest of a service's name and a request payload, which binds cursors and claims to the request.
 pub fn fingerprint(service: &str, payload: &[u8]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(service.as_bytes());
@@ -131,7 +131,7 @@
 }
 
 impl Submitter {
-    /// The body of a request.
+    /// Reads the body of a request, up to the configured limit.
     pub async fn read_body(&self, request: &mut salvo::Request) -> Result<Bytes, Kind> {
         request
             .payload_with_max_size(self.max_body_bytes)
@@ -143,7 +143,7 @@
             })
     }
 
-    /// Hands a request to the core.
+    /// Submits a request to the core; `generation` is its new identifier.
     pub fn submit(
         &self,
         headers: RequestHeaders,
@@ -169,7 +169,7 @@
 }
 
 impl RequestHeaders {
-    /// Reads the headers of a request.
+    /// Parses the headers of a request.
     pub fn parse(request: &salvo::Request) -> Result<Self, Kind> {
         Ok(Self {
             customer: customer_digest(request)?,
@@ -188,7 +188,7 @@
     }
 }
 
-/// The cursor that a caller goes on from.
+/// The cursor from which the caller resumes; `None` if it starts a new request.
 fn cursor(request: &salvo::Request) -> Result<Option<Vec<u8>>, Kind> {
     let Some(value) = request.headers().get(LAST_EVENT_ID) else {
         return Ok(None);
@@ -199,7 +199,7 @@
         .map_err(|_| Kind::BadCursor)
 }
 
-/// Digest of the customer's key.
+/// Digest of the customer's API key.
 fn customer_digest(request: &salvo::Request) -> Result<String, Kind> {
     let key = request
         .headers()
@@ -210,13 +210,13 @@
     Ok(blake3::hash(key.as_bytes()).to_hex().to_string())
 }
 
-/// The first bytes of a digest as a number.
+/// The first eight bytes of a digest as a little-endian number.
 pub(crate) fn first_bytes(hash: &blake3::Hash) -> u64 {
     let bytes = hash.as_bytes().first_chunk();
-    u64::from_le_bytes(*bytes.expect("a digest is longer"))
+    u64::from_le_bytes(*bytes.expect("a digest has 32 bytes"))
 }
 
-/// The idempotency key, if given.
+/// The idempotency key; `None` if the request has none.
 fn idempotency_key(request: &salvo::Request) -> Result<Option<u128>, Kind> {
     let Some(value) = request.headers().get(IDEMPOTENCY_KEY) else {
         return Ok(None);
@@ -228,7 +228,7 @@
     key.map(|key| Some(key.as_u128())).ok_or(Kind::BadKey)
 }
 
-/// Gives an error as the whole answer.
+/// Writes an error response.
 pub(crate) fn write_error(response: &mut salvo::Response, kind: Kind, retry_after_ms: Option<u64>) {
     let status = StatusCode::from_u16(kind.answer().status);
     response.status_code(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
@@ -241,7 +241,7 @@
     );
 }
 
-/// Says whether new callers shall be sent here.
+/// Writes the response that tells whether new callers may be sent to this instance.
 pub(crate) fn write_readiness(response: &mut salvo::Response, ready: bool) {
     let (status, text) = if ready {
         (StatusCode::OK, "ready\n")
@@ -252,7 +252,7 @@
     let _ = response.write_body(text);
 }
 
-/// Gives JSON as the whole answer.
+/// Writes a JSON response.
 pub(crate) fn write_json(response: &mut salvo::Response, body: &Value) {
     let _ = response.add_header(header::CONTENT_TYPE, "application/json", true);
     let _ = response.write_body(body.to_string());
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -1,9 +1,9 @@
-//! Calls of plain services over HTTP.
+//! The endpoint for calls of plain services over HTTP.
 
 use super::*;
 use caller::{RequestHeaders, Submitted, Submitter};
 
-/// Answers one call.
+/// Handles one call; on `Err`, nothing has been written to the response.
 pub(crate) async fn handle(
     submitter: &Submitter,
     request: &mut salvo::Request,
--- a/crates/node/src/claim_forwarder.rs
+++ b/crates/node/src/claim_forwarder.rs
@@ -1,22 +1,22 @@
-//! Hands claims on to the instance that owns their place.
+//! Forwards claims to the instance that owns their bucket.
 //!
-//! Claims that come while a batch is on its way go into the next one. An owner that does not answer
-//! in time is passed by: its claims are committed here, which the compare-and-swap makes safe.
+//! Claims are sent in batches: those that are queued together go into one frame. If the owner does not respond in time, its
+//! claims are committed by this instance, which the compare-and-swap makes safe.
 
 use super::*;
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-/// Time that an owner has to answer. Above it stands the pace of its writes and two calls of the
-/// key-value service.
+/// Timeout for connecting to an owner, and for its response to a batch. It must cover the interval between the owner's
+/// writes and two calls of the key-value service.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time after which a link without claims is closed.
+/// Time after which a connection without new claims is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Connection = Framed<TcpStream, frame::Codec>;
 
-/// Hands claims on to one owner.
+/// Forwards claims to one owner.
 pub(crate) struct ClaimForwarder {
     driver: Driver,
     in_flight: HashMap<u64, Batch>,
@@ -25,15 +25,15 @@
     returned_claims: mpsc::UnboundedSender<claimer::Order>,
 }
 
-/// Claims that were sent and not answered.
+/// Claims that were sent and await their outcomes.
 struct Batch {
     claims: Vec<claimer::Order>,
     sent_at: Instant,
 }
 
 impl ClaimForwarder {
-    /// A forwarder to the instance that listens for peers at `owner`; claims that it can not settle
-    /// go `back`.
+    /// A forwarder to the instance that listens for peers at `owner`. Claims without an outcome are sent to
+    /// `returned_claims`, to be committed by this instance.
     pub fn new(
         owner: SocketAddr,
         returned_claims: mpsc::UnboundedSender<claimer::Order>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Serves until nobody asked for a while or the link fails.
+    /// Forwards claims until the connection is idle for too long or fails; then returns those without an outcome.
     pub async fn run(mut self, mut claims: mpsc::UnboundedReceiver<claimer::Order>) {
         let connection = timeout(RESPONSE_TIMEOUT, TcpStream::connect(self.owner)).await;
         if let Ok(Ok(socket)) = connection {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Has a claim committed here.
+    /// Returns a claim, to be committed by this instance.
     fn return_claim(&self, claim: claimer::Order) {
         let _ = self.returned_claims.send(claimer::Order {
             here: true,
@@ -147,7 +147,7 @@
     }
 }
 
-/// A claim as a frame carried it; `None` if it is none.
+/// Decodes a claim from a frame; `None` if its key has the wrong length.
 pub(crate) fn decode_claim(claim: &peers::Claim) -> Option<Claim> {
     Some(Claim {
         fingerprint: claim.fingerprint,
@@ -157,7 +157,7 @@
     })
 }
 
-/// An outcome as a frame carries it.
+/// Encodes an outcome for a frame.
 pub(crate) fn encode_outcome(outcome: ClaimOutcome) -> peers::ClaimOutcome {
     use peers::claim_outcome::State;
     let (state, fingerprint) = match outcome {
--- a/crates/node/src/completion_response.rs
+++ b/crates/node/src/completion_response.rs
@@ -1,17 +1,17 @@
-//! An answer as its caller is given it: events, one piece, or an error.
+//! Encodes the response to a completion request: server-sent events, a single JSON document, or an error.
 
 use super::*;
 
-/// What one answer needs in each of its events.
+/// Encoder for one response; holds the fields that each of its events repeats.
 pub(crate) struct ResponseEncoder {
-    /// Identity of the generation.
+    /// Identifier of the generation.
     pub generation: String,
-    /// Service, as the caller named it.
+    /// Name of the service, as given in the request.
     pub service: String,
 }
 
 impl ResponseEncoder {
-    /// The event that carries tokens.
+    /// The event that carries `tokens`, the first of them at `position`.
     fn chunk(&self, tokens: &[OutputToken], position: u32) -> Value {
         let text: String = tokens.iter().map(|token| token.text.as_str()).collect();
         let token_ids: Vec<u32> = tokens.iter().map(|token| token.id).collect();
@@ -29,7 +29,8 @@
         })
     }
 
-    /// The last event, or the whole answer with its text and tokens.
+    /// The last event of a stream, or the whole answer with its text and tokens. `position` is the number of tokens in the
+    /// whole answer.
     pub fn completion(&self, text: &str, token_ids: &[u32], position: u32, reason: &str) -> Value {
         json!({
             "choices": [{
@@ -46,13 +47,12 @@
         })
     }
 
-    /// Takes the identity of the generation from a cursor; a caller that came back goes on with an
-    /// earlier one.
+    /// Sets the identifier of the generation from a cursor: a caller that reconnects resumes an earlier generation.
     pub fn set_generation(&mut self, cursor: &[u8; cursor::LENGTH]) {
         self.generation = Uuid::from_u128(cursor::generation(cursor)).to_string();
     }
 
-    /// One step of the answer as server-sent events.
+    /// Encodes one reply as server-sent events.
     pub fn events(&mut self, reply: Reply) -> Bytes {
         match reply {
             Reply::Abort
@@ -86,7 +86,7 @@
     }
 }
 
-/// An error as JSON.
+/// The JSON body of an error response.
 pub(crate) fn error_body(kind: Kind, retry_after_ms: Option<u64>) -> Value {
     let answer = kind.answer();
     json!({
--- a/crates/node/src/completions.rs
+++ b/crates/node/src/completions.rs
@@ -1,23 +1,23 @@
-//! Completions over HTTP, whole or as server-sent events.
+//! The endpoint for completions over HTTP; it responds with a JSON document or with server-sent events.
 
 use super::*;
 use caller::{CallerGuard, RequestHeaders, Submitted, Submitter};
 use completion_response::ResponseEncoder;
 
-/// Bytes of a prompt that decide which upstream may hold its prefix.
+/// Length of a prompt's prefix, in bytes, whose hash determines which upstream may have it in its KV cache.
 const PREFIX_BYTES: usize = 256;
 
-/// Tokens of an answer if the caller does not say.
+/// Maximum number of tokens in an answer if the request sets none.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// A completion as the caller asked for it.
+/// A parsed completion request.
 struct CompletionRequest {
     parsed: caller::ParsedRequest,
     service: String,
     stream: bool,
 }
 
-/// Answers one completion.
+/// Handles one completion request; on `Err`, nothing has been written to the response.
 pub(crate) async fn handle(
     submitter: &Submitter,
     request: &mut salvo::Request,
@@ -40,7 +40,7 @@
 }
 
 impl CompletionRequest {
-    /// Reads a completions request.
+    /// Parses the body of a completion request.
     fn parse(body: &[u8]) -> Result<Self, Kind> {
         let mut fields: Map<String, Value> =
             serde_json::from_slice(body).map_err(|_| Kind::BadBody)?;
@@ -88,7 +88,7 @@
     }
 }
 
-/// Answers with server-sent events; with an error's status if nothing came before it.
+/// Responds with server-sent events, or with an error status if the request fails before the first event.
 async fn respond_with_stream(
     submitted: Submitted,
     encoder: ResponseEncoder,
@@ -114,7 +114,7 @@
     response.stream(events(first, replies, guard, encoder));
 }
 
-/// The events of an answer, as many in one piece as have come.
+/// The events of a response; all replies that are queued go into one chunk.
 fn events(
     first: Reply,
     replies: mpsc::UnboundedReceiver<Reply>,
@@ -149,7 +149,7 @@
     )
 }
 
-/// Answers in one piece.
+/// Responds with a single JSON document.
 async fn respond_with_json(
     submitted: Submitted,
     mut encoder: ResponseEncoder,
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,27 +1,27 @@
-//! The core task: owns the core and carries out what it decides.
+//! The core task: owns the core, feeds events into it and executes its effects.
 
 use super::*;
 
-/// Time between two ticks of the core.
+/// Interval between ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time that peers are told that an upstream is leaving.
+/// Time for which peers are notified that an upstream is leaving.
 const LEAVING_RETENTION: Duration = Duration::from_secs(3);
 
-/// Upstreams that said they are leaving, and when that was heard.
+/// Names of upstreams that announced that they are leaving, and when the announcement arrived.
 pub(crate) type LeavingUpstreams = BTreeMap<String, Instant>;
 
-/// Messages taken at once.
+/// Maximum number of messages that are received at once.
 const BATCH_SIZE: usize = 256;
 
-/// What the core task is told.
+/// Message to the core task.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// Count something that an edge decided.
+    /// Increment a counter for a decision made outside the core.
     Count(Counter),
     /// An event for the core.
     Event(Event),
-    /// A request to be relayed, what is sent for it, and where its answer goes.
+    /// A request to relay: its submission, the original request, and the channel for its replies.
     Relay(
         Box<Submission>,
         Arc<forward::OriginalRequest>,
@@ -31,72 +31,72 @@
     Response(attempt::Key, Caller, HeldResponse, Event),
     /// New settings for the core.
     Settings(Box<wellplank_core::settings::Settings>),
-    /// Answer with the state.
+    /// Request for the current state.
     Status(oneshot::Sender<Snapshot>),
-    /// A request, and where its answer goes.
+    /// A request, and the channel for its replies.
     Submit(Box<Submission>, mpsc::UnboundedSender<Reply>),
-    /// A word that an upstream said of itself and that is not known, and the upstream.
+    /// Name of an unknown platform header in a response, and the upstream that sent it.
     UnknownHeader(String, Arc<str>),
 }
 
-/// What the edge holds of an upstream's answer until the core decides what is done with it.
+/// Response data of an upstream, held until the core decides whether it is forwarded.
 #[derive(Debug)]
 pub(crate) enum HeldResponse {
-    /// A whole answer.
+    /// A complete response.
     Complete(Box<forward::CompleteResponse>),
-    /// The head of a stream.
+    /// The response head of a stream.
     Head(Box<forward::Head>),
 }
 
-/// A caller that waits for its answer.
+/// A caller whose response is not finished.
 struct PendingCaller {
-    /// What came last from an upstream and is not yet given to the caller.
+    /// Latest response data from an upstream that is not yet forwarded to the caller.
     held: Option<HeldResponse>,
-    /// The request, if it is relayed.
+    /// The original request; `None` unless it is relayed.
     original: Option<Arc<forward::OriginalRequest>>,
-    /// Where the answer goes.
+    /// Channel to the caller's task.
     replies: mpsc::UnboundedSender<Reply>,
 }
 
-/// State for operators.
+/// State of the core as reported to operators.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
-    /// Counters by name.
+    /// Counters with their names.
     pub counters: Vec<schema::Count>,
-    /// Revision in force.
+    /// Configuration revision in force; `None` before the first one arrives.
     pub revision: Option<u64>,
-    /// Requests accepted and not yet answered.
+    /// Number of requests that are accepted but not finished.
     pub running: usize,
-    /// Upstreams known.
+    /// Known upstreams.
     pub upstreams: Vec<schema::UpstreamState>,
 }
 
-/// Handle of the core task.
+/// Handle for sending messages to the core task; clones share the task.
 #[derive(Clone, Debug)]
 pub struct Driver {
     next_caller: Arc<AtomicU64>,
     sender: mpsc::UnboundedSender<Message>,
 }
 
-/// Where the core task sends what it does not carry out itself.
+/// Channels to the tasks that execute the effects which the core task does not execute itself.
 pub(crate) struct CoreOutputs {
     /// Claims of idempotency keys to settle.
     pub claims: mpsc::UnboundedSender<claimer::Order>,
-    /// The unplanned ends of upstreams that are known.
+    /// Known crashes of upstreams.
     pub crash_history: watch::Sender<account::Known>,
     /// Messages to other instances.
     pub gossip: mpsc::UnboundedSender<gossip::Told>,
-    /// Upstreams that said they are leaving.
+    /// Upstreams that announced that they are leaving.
     pub leaving: watch::Sender<LeavingUpstreams>,
     /// Counters and histograms.
     pub meter: meter::Meter,
-    /// What other instances are told.
+    /// Changes of the quarantine to persist, so that it survives the loss of all instances.
     pub quarantine_updates: mpsc::UnboundedSender<keeper::Kept>,
-    /// What control sends and receives.
+    /// Volume of control traffic.
     pub traffic: Traffic,
 }
 
-/// What the core task owns.
+/// State of the core task.
 struct Task {
     attempts: HashMap<attempt::Key, JoinHandle<()>>,
     callers: HashMap<Caller, PendingCaller>,
@@ -118,22 +118,22 @@
 }
 
 impl Driver {
-    /// A name for a new caller's connection.
+    /// A new identifier for a caller's connection.
     pub(crate) fn new_caller(&self) -> Caller {
         Caller(self.next_caller.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Counts something that an edge decided.
+    /// Increments a counter for a decision made outside the core.
     pub(crate) fn count(&self, counter: Counter) {
         self.send(Message::Count(counter));
     }
 
-    /// Tells the core an event.
+    /// Queues an event for the core.
     pub(crate) fn send_event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 
-    /// The state for operators; empty if the core task has ended.
+    /// The state as reported to operators; empty if the core task has ended.
     pub(crate) async fn status(&self) -> Snapshot {
         let (sender, receiver) = oneshot::channel();
         self.send(Message::Status(sender));
@@ -179,19 +179,19 @@
         (driver, tokio::spawn(task.run(receiver)))
     }
 
-    /// Hands in a request; its answer comes on the receiver.
+    /// Submits a request; the receiver yields its replies.
     pub(crate) fn submit(&self, submission: Submission) -> mpsc::UnboundedReceiver<Reply> {
         let (replies, receiver) = mpsc::unbounded_channel();
         self.send(Message::Submit(Box::new(submission), replies));
         receiver
     }
 
-    /// Has the core take other settings.
+    /// Applies new settings to the core.
     pub(crate) fn configure(&self, settings: wellplank_core::settings::Settings) {
         self.send(Message::Settings(Box::new(settings)));
     }
 
-    /// Hands in what an upstream answered, and tells the core of it.
+    /// Passes response data of an upstream to the core task, and reports it to the core by `event`.
     pub(crate) fn hold_response(
         &self,
         attempt: attempt::Key,
@@ -202,7 +202,7 @@
         self.send(Message::Response(attempt, caller, held, event));
     }
 
-    /// Hands in a request to be relayed; its answer comes on the receiver.
+    /// Submits a request to relay; the receiver yields its replies.
     pub(crate) fn submit_relay(
         &self,
         submission: Submission,
@@ -214,19 +214,20 @@
         receiver
     }
 
-    /// Hands in a word that an upstream said of itself and that is not known.
+    /// Reports an unknown platform header in an upstream's response.
     pub(crate) fn report_unknown_header(&self, name: &str, upstream: &Arc<str>) {
         self.send(Message::UnknownHeader(name.to_owned(), upstream.clone()));
     }
 
     fn send(&self, message: Message) {
-        // The core task ends only with the instance.
+        // Sending fails only while the instance shuts down, since the core task runs until then.
         let _ = self.sender.send(message);
     }
 }
 
 impl CoreOutputs {
-    /// Those of an instance that tells others by frames, and keeps nothing of upstreams that ended.
+    /// Outputs of an instance that sends frames over links to its peers: it neither gossips by datagram nor persists the
+    /// quarantine, so these channels have no receiver.
     pub(crate) fn new(
         claims: mpsc::UnboundedSender<claimer::Order>,
         leaving: watch::Sender<LeavingUpstreams>,
@@ -385,7 +386,7 @@
         self.meter.count(counter, count);
     }
 
-    /// Carries out a decision on requests that end their upstreams.
+    /// Executes an effect concerning requests that crash the upstreams that run them.
     fn execute_quarantine(&self, effect: effect::Quarantine) {
         match effect {
             effect::Quarantine::CheckCrash { address, life } => {
@@ -412,11 +413,11 @@
     }
 
     fn persist_quarantine(&self, update: keeper::Kept) {
-        // Where nothing is kept, nobody listens.
+        // The channel has no receiver on instances that do not persist the quarantine.
         let _ = self.quarantine_updates.send(update);
     }
 
-    /// Has other instances told that an upstream is leaving, by the one way that there is to them.
+    /// Notifies other instances that an upstream is leaving, by gossip and by heartbeats; only one of the two is in use.
     fn notify(&self, incarnation: Incarnation, name: &str) {
         self.gossip(gossip::Told::Leaving(incarnation));
         let now = Instant::now();
@@ -426,10 +427,10 @@
         });
     }
 
-    /// Gives a caller the last step of its answer.
+    /// Sends a caller its last reply and forgets it.
     fn finish_caller(&mut self, caller: Caller, reply: Reply) {
         if let Some(pending) = self.callers.remove(&caller) {
-            // A caller that went away meanwhile needs no answer.
+            // Sending fails if the caller has disconnected.
             let _ = pending.replies.send(reply);
         }
     }
@@ -453,13 +454,13 @@
 
     fn send_reply(&self, caller: Caller, reply: Reply) {
         if let Some(pending) = self.callers.get(&caller) {
-            // A caller that went away meanwhile needs no answer.
+            // Sending fails if the caller has disconnected.
             let _ = pending.replies.send(reply);
         }
     }
 
     fn gossip(&self, message: gossip::Told) {
-        // Where there are no other instances to tell, nobody listens.
+        // The channel has no receiver on instances that do not gossip.
         let _ = self.gossip.send(message);
     }
 
@@ -467,7 +468,7 @@
         self.callers.get_mut(&caller)?.held.take()
     }
 
-    /// Starts the task that passes a relayed request on.
+    /// Starts the task that forwards a relayed request to an upstream; `None` if the request can not be sent.
     fn start_forward(
         &self,
         address: SocketAddr,
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,31 +1,31 @@
-//! Streams of engines: a completions interface over HTTP with server-sent events.
+//! Client for engines: a completions interface over HTTP with server-sent events.
 //!
-//! - `POST /v1/completions` starts a stream named by `stream_id`; `continue_token_ids` holds the
-//!   tokens that it continues from, `linger_ms` how long it is kept without a reader.
-//! - `GET /v1/completions/{stream_id}?starting_after=N` reads on from position N.
+//! - `POST /v1/completions` starts the stream `stream_id`; `continue_token_ids` holds the tokens that it continues after,
+//!   `linger_ms` how long the engine keeps it without a reader.
+//! - `GET /v1/completions/{stream_id}?starting_after=N` resumes reading at position N.
 //! - `POST /v1/completions/{stream_id}/cancel` stops it.
-//! - 429 and 503 mean that nothing ran; the header `x-leaving` that the engine is leaving, `retry-after` for how many seconds it
-//!   wants nothing of this instance.
+//! - The status 429 or 503 means that nothing ran; the header `x-leaving`, that the engine is leaving; `retry-after`, for how
+//!   many seconds it accepts no requests from this instance.
 
 use super::*;
 use wellplank_core::notice::{Backoff, Notice};
 
-/// Header by which an upstream that refuses says that it is leaving.
+/// Header of a refusal by an upstream that is leaving.
 const LEAVING_HEADER: &str = "x-leaving";
 
-/// Time that a cancelled stream's engine has to answer.
+/// Timeout for the cancellation of a stream.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One event of a stream.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     choices: Vec<Choice>,
-    /// The engine's load now, in some of the events.
+    /// Current load of the engine; only some events have it.
     load: Option<probe::LoadReport>,
     position: u32,
 }
 
-/// The one choice of an event.
+/// The only choice of an event.
 #[derive(Debug, Deserialize)]
 struct Choice {
     finish_reason: Option<String>,
@@ -35,7 +35,7 @@
     token_ids: Vec<u32>,
 }
 
-/// Stops a stream; a lost word costs no more than the stream's linger time.
+/// Cancels a stream at its engine. Errors are ignored: the engine stops the stream after its linger time anyway.
 pub(crate) async fn cancel(
     http: Http,
     address: SocketAddr,
@@ -46,7 +46,7 @@
     let _ = timeout(CANCEL_TIMEOUT, http.exchange(request)).await;
 }
 
-/// Reads a stream to its end and tells the core task what comes.
+/// Sends a request for a stream, reads the stream to its end and reports its events to the core task.
 pub(crate) async fn run(
     http: Http,
     driver: Driver,
@@ -72,7 +72,8 @@
     driver.send_event(Event::Failed { attempt, failure });
 }
 
-/// The request that starts or re-attaches to a stream; `None` if the payload is no object.
+/// The request that starts or re-attaches to a stream; `None` if the payload is not a JSON object or the message is
+/// not for an engine.
 pub(crate) fn request(address: SocketAddr, outbound: Outbound) -> Option<Request<http::Body>> {
     match outbound {
         Outbound::Attach { position, stream } => {
@@ -106,7 +107,7 @@
     }
 }
 
-/// Tells the core task for how long the upstream that gave a refusal wants nothing.
+/// Reports to the core task the backoff that an upstream requests with a refusal.
 pub(crate) fn report_backoff<B>(
     driver: &Driver,
     attempt: attempt::Key,
@@ -127,7 +128,7 @@
     }
 }
 
-/// Whether a status says that nothing was run for want of room.
+/// Whether a status means that the upstream did not run the request for lack of capacity.
 pub(crate) fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
@@ -135,7 +136,7 @@
     )
 }
 
-/// What a refusal means for the request.
+/// The failure that an error response means for an attempt; `attach` tells whether it was to re-attach to a stream.
 pub(crate) fn classify_error<B>(response: &hyper::Response<B>, attach: bool) -> Failure {
     let leaving = response.headers().contains_key(LEAVING_HEADER);
     match response.status() {
@@ -152,7 +153,7 @@
     format!("{generation}.{}", stream.number)
 }
 
-/// Reads events until the end; false if the stream ends before it should.
+/// Reads a stream and reports its events; false if it ends without a finish reason or an event is malformed.
 async fn read_stream(driver: &Driver, attempt: attempt::Key, body: hyper::body::Incoming) -> bool {
     let mut events = SseStream::new(body);
     while let Some(Ok(event)) = events.next().await {
@@ -188,7 +189,7 @@
     false
 }
 
-/// Tokens with their text; the text of several tokens goes with the last of them.
+/// Tokens with their text; the text of several tokens is assigned to the last of them.
 fn output_tokens(ids: &[u32], text: String) -> Vec<OutputToken> {
     let mut tokens: Vec<OutputToken> = ids
         .iter()
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,4 +1,4 @@
-//! Passing a request on to an upstream, and its answer back, both as they are.
+//! Forwards relayed requests to upstreams, and the responses back, without changing their bodies.
 
 use super::*;
 use platform::response::Classification;
@@ -7,56 +7,56 @@
 /// A request as its caller sent it.
 #[derive(Debug)]
 pub(crate) struct OriginalRequest {
-    /// Body.
+    /// The complete body.
     pub body: Bytes,
-    /// Headers.
+    /// All headers, including those that are not forwarded.
     pub headers: hyper::HeaderMap,
-    /// Method.
+    /// HTTP method.
     pub method: hyper::Method,
-    /// Name of the run at upstreams.
+    /// Request ID, which also identifies the request at upstreams.
     pub request_id: Arc<str>,
     /// Path with query.
     pub target: String,
 }
 
-/// Head of an upstream's answer, without what concerns its connection.
+/// Head of an upstream's response.
 #[derive(Debug)]
 pub(crate) struct Head {
-    /// Headers.
+    /// End-to-end headers.
     pub headers: hyper::HeaderMap,
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
 }
 
-/// Whole answer of an upstream.
+/// Complete response of an upstream.
 #[derive(Debug)]
 pub(crate) struct CompleteResponse {
-    /// Body.
+    /// The complete body.
     pub body: Bytes,
-    /// Head.
+    /// Status and headers.
     pub head: Head,
 }
 
-/// One request at one upstream.
+/// One attempt of a request at one upstream.
 pub(crate) struct Exchange {
     /// The attempt.
     pub attempt: attempt::Key,
-    /// The caller that it is for.
+    /// The caller that sent the request.
     pub caller: Caller,
-    /// The core task.
+    /// Handle of the core task.
     pub driver: Driver,
-    /// Name of the run, which the answer must bear.
+    /// Request ID, which the response must repeat.
     pub request_id: Arc<str>,
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub streams: bool,
-    /// The upstream.
+    /// Key of the upstream.
     pub upstream: upstream::Key,
-    /// Name of the upstream.
+    /// Name of the upstream, for logs.
     pub upstream_name: Arc<str>,
 }
 
 impl OriginalRequest {
-    /// The request to an upstream; `None` if its path makes no address.
+    /// The request to send to an upstream; `None` if the message is not a relay or the path makes no valid URI.
     pub fn upstream_request(
         &self,
         address: SocketAddr,
@@ -94,7 +94,7 @@
 }
 
 impl Exchange {
-    /// Sends the request and tells the core task what comes, up to the end of the answer.
+    /// Sends the request and reports the response to the core task, up to its end.
     pub async fn run(self, http: Http, request: Request<http::Body>) {
         if let Err(failure) = self.exchange(http, request).await {
             self.driver.send_event(Event::Failed {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Tells the core task what the upstream says of itself beside its answer, before anything of the answer goes on.
+    /// Reports the upstream's notice about itself to the core task, before any part of the response is forwarded.
     fn report_notice(&self, status: StatusCode, notice: Notice) {
         if !notice.is_plain() {
             request_log::log_notice(&self.request_id, &self.upstream_name, status, &notice);
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Reads events up to the end, which the answer marks if it has a length or comes in chunks. What is
-    /// left behind the last whole event is dropped.
+    /// Reads the events of a stream up to its end; `has_end_marker` tells whether the response has a length or is chunked,
+    /// so that its end is explicit. Bytes after the last complete event are dropped, and the stream counts as broken.
     async fn read_stream(
         &self,
         mut body: hyper::body::Incoming,
@@ -203,7 +203,7 @@
     }
 }
 
-/// Where the first event of a buffer ends, with the empty line behind it.
+/// Length of the first event in a buffer, with the empty line that ends it; `None` if the event is incomplete.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     const DELIMITER: &[u8] = b"\n\n";
     let start = buffer
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -1,11 +1,11 @@
-//! Calls of plain services over HTTP.
+//! Client for plain services: calls over HTTP.
 
 use super::*;
 
-/// Header that names the request in the service's logs.
+/// Header with the identifier of the request, for the service's logs.
 const REQUEST_ID: &str = "x-request-id";
 
-/// Sends one call and tells the core task the answer.
+/// Sends one call and reports the response to the core task.
 pub(crate) async fn run(
     http: Http,
     driver: Driver,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The request of a call; `path` is the method and the path.
+/// The HTTP request for a call; `method_and_path` is separated by a space. `None` if it makes no valid request.
 pub(crate) fn request(
     address: SocketAddr,
     method_and_path: &str,
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,11 +1,11 @@
-//! Probes of upstreams: `GET /load` answers with the load, and so that the upstream lives.
+//! Health probes of upstreams: `GET /load` returns the load, which also shows that the upstream is alive.
 
 use super::*;
 
-/// Time after which a probe is not waited for; the core gives up on it earlier.
+/// Timeout of a probe; the core gives up on it earlier.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A load report, as upstreams answer a probe and engines may add it to the events of a stream.
+/// A load report: the response to a probe, which engines may also add to the events of a stream.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct LoadReport {
     #[serde(default)]
@@ -16,7 +16,7 @@
 }
 
 impl LoadReport {
-    /// The report as the core takes it.
+    /// Converts the report to the core's representation.
     pub fn load(self) -> Load {
         Load {
             leaving: self.leaving,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Probes an upstream and tells the core task what it said.
+/// Probes an upstream and reports its load and whether it is alive to the core task.
 pub(crate) async fn run(http: Http, driver: Driver, upstream: upstream::Key, address: SocketAddr) {
     let exchange = http.exchange(http::get(address, "/load"));
     let result = timeout(TIMEOUT, exchange).await;
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,34 +1,34 @@
-//! Callers' requests that are passed on as they are, and the answers that they get.
+//! The endpoint for requests that are relayed to upstreams unchanged.
 
 use super::*;
 use caller::CallerGuard;
 
-/// Time after a signal to stop up to which long requests are still taken: the balancer sends new
-/// callers for two of its looks, one second apart.
+/// Time after the start of a shutdown during which long requests are still accepted: the load balancer keeps
+/// sending new callers for two of its health checks, which are one second apart.
 const LONG_REQUEST_WINDOW: Duration = Duration::from_millis(2_500);
 
-/// When a caller is asked to come back that met an instance about to stop, in milliseconds: at once,
-/// since it will meet another one.
+/// Retry delay for callers that are refused during a shutdown, in milliseconds: short, since they will reach another
+/// instance.
 const SHUTDOWN_RETRY_MS: u64 = 50;
 
-/// Time before the end of a stopping instance from which on nothing new is taken: what short requests
-/// may take.
+/// Time before the deadline of a shutdown in which no new requests are accepted: the time that a short
+/// request may take.
 const SHORT_REQUEST_RESERVE: Duration = Duration::from_millis(1_700);
 
-/// A planned stop.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
     /// When the instance exits at the latest.
     pub deadline: Instant,
-    /// When it began.
+    /// When the shutdown started.
     pub started_at: Instant,
 }
 
-/// The planned stop; `None` while there is none.
+/// Watches for a graceful shutdown; the value is `None` until one starts.
 pub(crate) type ShutdownReceiver = watch::Receiver<Option<Shutdown>>;
 
 impl Shutdown {
-    /// Whether a new request could still be answered.
+    /// Whether a new request is still accepted.
     fn accepts(self, is_long: bool) -> bool {
         let left = self.deadline.saturating_duration_since(Instant::now());
         left > SHORT_REQUEST_RESERVE
@@ -38,11 +38,11 @@
 
 /// The endpoint of relayed requests.
 pub(crate) struct Endpoint {
-    /// The core task.
+    /// Handle of the core task.
     pub driver: Driver,
-    /// Limits on what callers send.
+    /// Limits on the requests of callers.
     pub limits: watch::Receiver<platform::configuration::Limits>,
-    /// The planned stop.
+    /// Watches for a graceful shutdown.
     pub shutdown: ShutdownReceiver,
 }
 
@@ -75,7 +75,7 @@
         let uri = request.uri();
         let parsed = platform::request::parse(uri.path(), uri.query(), request.headers(), &body);
         let parsed = parsed.map_err(|error| {
-            debug!("request: {error}");
+            debug!("malformed request: {error}");
             Kind::BadBody
         })?;
         let is_long = parsed.relay.prompt != 0;
@@ -120,7 +120,7 @@
     }
 }
 
-/// The whole body of a request, within the limits.
+/// Reads the complete body of a request, within the limits on its size and on the time it takes.
 async fn read_body(
     request: &mut salvo::Request,
     limits: platform::configuration::Limits,
@@ -135,7 +135,7 @@
     })
 }
 
-/// Gives a caller its answer as it comes.
+/// Writes the replies of the core to the response.
 async fn respond(
     request_id: &str,
     mut replies: mpsc::UnboundedReceiver<Reply>,
@@ -163,8 +163,8 @@
     }
 }
 
-/// The events of a stream, as many in one piece as have come. A stream that is cut ends with an
-/// error, which breaks the caller's connection.
+/// The events of a stream; all events that are queued go into one chunk. An aborted stream ends with an error, which closes
+/// the caller's connection before the response is complete.
 fn events(
     replies: mpsc::UnboundedReceiver<Reply>,
     guard: CallerGuard,
@@ -173,7 +173,7 @@
         (replies, guard, false),
         |(mut replies, mut guard, mut is_aborted)| async move {
             if is_aborted {
-                let error = std::io::Error::other("the stream can not go on");
+                let error = std::io::Error::other("relayed stream aborted before it was complete");
                 return Some((Err(error), (replies, guard, false)));
             }
             if guard.is_finished {
@@ -200,7 +200,7 @@
                 }
             }
             if bytes.is_empty() && is_aborted {
-                let error = std::io::Error::other("the stream can not go on");
+                let error = std::io::Error::other("relayed stream aborted before it was complete");
                 return Some((Err(error), (replies, guard, false)));
             }
             if bytes.is_empty() {
@@ -211,8 +211,7 @@
     )
 }
 
-/// Gives an error as the whole answer to the request named `run`; the time to come back has fractions
-/// of seconds.
+/// Logs and writes an error response. Its `retry-after` header has fractions of seconds.
 fn write_error(
     response: &mut salvo::Response,
     request_id: &str,
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,46 +1,46 @@
-//! What a caller's task is told by the core task.
+//! Replies that the core task sends to a caller's task.
 
 use super::*;
 
-/// One step of an answer.
+/// One part of the response to a caller.
 #[derive(Debug)]
 pub(crate) enum Reply {
-    /// An upstream's whole answer, passed on as it is.
+    /// A relayed stream ends before it is complete.
     Abort,
-    /// A plain service's answer.
+    /// The response of a plain service.
     Body {
-        /// Body.
+        /// Response body.
         body: Vec<u8>,
         /// HTTP status.
         status: u16,
     },
-    /// A relayed stream is whole.
+    /// A relayed stream is complete.
     EndStream,
-    /// A relayed stream ends without being whole.
+    /// One event of a relayed stream.
     Event(Arc<[u8]>),
-    /// The final answer is an error.
+    /// The response is an error.
     Failed {
-        /// Why.
+        /// Kind of error.
         kind: Kind,
-        /// When to come back.
+        /// Time to wait before retrying, in milliseconds; `None` if a retry does not help.
         retry_after_ms: Option<u64>,
     },
-    /// The generation is whole.
+    /// The generation is complete.
     Finished {
         /// Number of tokens in the whole answer.
         position: u32,
-        /// Why the engine stopped.
+        /// Finish reason given by the engine.
         reason: String,
     },
-    /// A relayed stream begins with this head.
+    /// The response head of a relayed stream.
     Head(Box<forward::Head>),
-    /// One event of a relayed stream.
+    /// The complete response of an upstream, forwarded unchanged.
     Response(Box<forward::CompleteResponse>),
-    /// Tokens.
+    /// Tokens of a generation.
     Tokens {
-        /// Encoded cursor after them.
+        /// Encoded cursor after these tokens.
         cursor: [u8; cursor::LENGTH],
-        /// Position of the first of them.
+        /// Position of the first token.
         position: u32,
         /// The tokens.
         tokens: Vec<OutputToken>,
--- a/crates/node/src/request_log.rs
+++ b/crates/node/src/request_log.rs
@@ -1,4 +1,5 @@
-//! Log lines of the steps in a request's life: one for each decision that touches it.
+//! Log lines about the life cycle of requests, one for each decision that affects a request, and about the status of
+//! upstreams.
 
 use super::*;
 use wellplank_core::{
@@ -8,13 +9,13 @@
     quarantine::CrashHistory,
 };
 
-/// Writes the line of a change in what is believed of an upstream.
+/// Logs a change of an upstream's status.
 pub(crate) fn log_upstream(change: StatusChange, born: u64, silent_ms: u64, upstream: &str) {
     let change = change.name();
     info!(upstream, born, belief = change, silent_ms; "upstream");
 }
 
-/// Writes the line of what an upstream said of itself beside an answer.
+/// Logs the state that an upstream announced in the headers of a response.
 pub(crate) fn log_notice(request: &str, upstream: &str, status: StatusCode, notice: &Notice) {
     let status = status.as_u16();
     let leaving = notice.leaving;
@@ -31,8 +32,8 @@
     info!(request, upstream, status, leaving, limit, rest_ms = backoff_ms, odd = is_malformed; "upstream said");
 }
 
-/// Writes the line of a request that is refused from now on, with the upstreams that ended under it, by the hashes of their
-/// names, and whether this instance saw one of them end.
+/// Logs that a request is refused from now on, with the upstreams that crashed while they ran it, by the hashes of their
+/// names, and whether this instance observed one of the crashes.
 pub(crate) fn log_quarantine(
     fingerprint: RequestFingerprint,
     crashes: &CrashHistory,
@@ -47,13 +48,13 @@
     warn!(fingerprint, upstreams, own = witnessed; "quarantined");
 }
 
-/// Writes the line of a request that is no longer refused.
+/// Logs that a request is no longer refused.
 pub(crate) fn log_release(fingerprint: RequestFingerprint) {
     let fingerprint = fingerprint.to_string();
     info!(fingerprint; "no longer quarantined");
 }
 
-/// Writes the line of a step. Relayed requests have the name that their caller gave them.
+/// Logs a step of a request. Relayed requests are identified by the ID that their caller assigned.
 pub(crate) fn log_step(entry: &RequestLog) {
     let generation = || Uuid::from_u128(entry.generation).to_string();
     let request = entry.run.as_deref().map_or_else(generation, str::to_owned);
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -1,9 +1,9 @@
-//! What an instance sends and receives for control: probes, the list, the key-value service and
-//! other instances. Bytes above TCP.
+//! Volume of control traffic, sent and received: probes, the list of instances, the key-value service and other instances.
+//! Bytes are counted above TCP.
 
 use super::*;
 
-/// Bytes and messages counted so far; clones share them.
+/// Counters of control traffic; clones share them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Traffic(Arc<Counters>);
 
@@ -14,13 +14,13 @@
 }
 
 impl Traffic {
-    /// Counts one message.
+    /// Counts one message of `bytes` bytes.
     pub fn count(&self, bytes: usize) {
         self.0.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.0.messages.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counts by name.
+    /// The counters with their names.
     pub fn counts(&self) -> [schema::Count; 2] {
         let count = |name: &str, value: &AtomicU64| schema::Count {
             name: name.into(),
