--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -357,8 +357,8 @@
                 silent_ms,
                 upstream,
             } => request_log::log_upstream(change, born, silent_ms, &upstream),
-            Effect::Observe(timing, millis) => {
-                self.meter.time(meter::Timed::Core(timing), millis as f64);
+            Effect::Observe(timing, ms) => {
+                self.meter.time(meter::Timed::Core(timing), ms as f64);
             }
             Effect::Probe { address, upstream } => {
                 let probe = probe::run(self.probes.clone(), self.driver.clone(), upstream, address);
