--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -32,11 +32,11 @@
 pub fn run(matches: &ArgMatches) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("check", arguments)) => {
-            load(arguments)?;
+            load_settings(arguments)?;
             println!("ok");
             Ok(())
         }
-        Some(("run", arguments)) => serve(load(arguments)?, path(arguments)),
+        Some(("run", arguments)) => serve(load_settings(arguments)?, settings_path(arguments)),
         _ => {
             println!("{:#}", Settings::defaults());
             Ok(())
@@ -44,11 +44,11 @@
     }
 }
 
-fn load(arguments: &ArgMatches) -> Result<Settings, Error> {
-    read(path(arguments))
+fn load_settings(arguments: &ArgMatches) -> Result<Settings, Error> {
+    read_settings(settings_path(arguments))
 }
 
-fn path(arguments: &ArgMatches) -> &Path {
+fn settings_path(arguments: &ArgMatches) -> &Path {
     let path: &PathBuf = arguments
         .get_one("settings")
         .expect("the command line requires it");
@@ -56,7 +56,7 @@
 }
 
 /// Reads a settings file.
-pub fn read(path: &Path) -> Result<Settings, Error> {
+pub fn read_settings(path: &Path) -> Result<Settings, Error> {
     let text =
         std::fs::read_to_string(path).map_err(|error| Error::Read(path.to_owned(), error))?;
     Settings::parse(&text).map_err(|faults| Error::Settings(path.to_owned(), faults))
@@ -79,8 +79,8 @@
     runtime.block_on(async {
         let instance = Instance::start(settings).await?;
         tokio::select! {
-            () = instance::terminated() => {}
-            () = instance.drained() => {}
+            () = instance::wait_for_termination() => {}
+            () = instance.wait_for_drain_request() => {}
         }
         info!("stopping");
         instance.stop().await;
--- a/crates/node/src/tuning.rs
+++ b/crates/node/src/core_settings.rs
@@ -101,7 +101,7 @@
     let stall_max_ms = millis("stall_max_ms", default.stall_max_ms);
     let stall_min_ms = millis("stall_min_ms", default.stall_min_ms);
     if stall_min_ms > stall_max_ms {
-        reader.fault(
+        reader.add_fault(
             "stall_min_ms",
             format!("{stall_min_ms} must not be above stall_max_ms, {stall_max_ms}"),
         );
@@ -115,7 +115,7 @@
         continuation: reader.flag("continuation", default.continuation),
         continue_non_repeatable: reader
             .flag("continue_non_repeatable", default.continue_non_repeatable),
-        hedge_earn: reader.share("hedge_earn", default.hedge_earn),
+        hedge_earn: reader.fraction("hedge_earn", default.hedge_earn),
         held_bytes_max: reader.number("held_bytes_max", default.held_bytes_max, 1 << 16..=1 << 40),
         key_age_max_ms,
         key_lead_max_ms,
@@ -128,17 +128,17 @@
         probe_timeout_ms,
         quarantine: reader.choice("quarantine", &QuarantineRule::ALL, default.quarantine),
         queue_max: reader.number("queue_max", default.queue_max as u64, 1..=1_000_000) as usize,
-        place: read_place(reader.section("place")),
+        place: read_placement(reader.section("place")),
         probes: reader.flag("probes", default.probes),
         relay_call_ms,
         relay_copy_ms,
-        relay_first: reader.real("relay_first", default.relay_first, 0.1..=100.0),
+        relay_first: reader.float("relay_first", default.relay_first, 0.1..=100.0),
         relay_resume: reader.choice("relay_resume", &ResumeMode::ALL, default.relay_resume),
         relay_stall_ms,
         report_lag_ms,
-        resume_reserve: reader.share("resume_reserve", default.resume_reserve),
-        room: read_room(reader.section("room")),
-        retry_earn: reader.share("retry_earn", default.retry_earn),
+        resume_reserve: reader.fraction("resume_reserve", default.resume_reserve),
+        room: read_capacity(reader.section("room")),
+        retry_earn: reader.fraction("retry_earn", default.retry_earn),
         routing: reader.choice("routing", &Routing::ALL, default.routing),
         shared: read_shared(reader.section("shared")),
         stall_loss_ms,
@@ -156,40 +156,40 @@
     let calls = CallLimits {
         demand: reader.flag("demand", default.demand),
         second: reader.flag("second", default.second),
-        wait: reader.real("wait", default.wait, 0.0..=1.0),
+        wait: reader.float("wait", default.wait, 0.0..=1.0),
         window: reader.flag("window", default.window),
     };
     reader.finish();
     calls
 }
 
-fn read_place(mut reader: Reader) -> PlacementWeights {
+fn read_placement(mut reader: Reader) -> PlacementWeights {
     let default = PlacementWeights::default();
-    let mut cost = |name: &str, default: f64| reader.real(name, default, 0.0..=1_000.0);
+    let mut weight = |name: &str, default: f64| reader.float(name, default, 0.0..=1_000.0);
     let place = PlacementWeights {
-        far: cost("far", default.far),
-        memory: cost("memory", default.memory),
-        outage: cost("outage", default.outage),
-        reading: cost("reading", default.reading),
-        running: cost("running", default.running),
-        sample: cost("sample", default.sample),
-        spread: cost("spread", default.spread),
-        suspect: cost("suspect", default.suspect),
-        trouble: cost("trouble", default.trouble),
+        far: weight("far", default.far),
+        memory: weight("memory", default.memory),
+        outage: weight("outage", default.outage),
+        reading: weight("reading", default.reading),
+        running: weight("running", default.running),
+        sample: weight("sample", default.sample),
+        spread: weight("spread", default.spread),
+        suspect: weight("suspect", default.suspect),
+        trouble: weight("trouble", default.trouble),
     };
     reader.finish();
     place
 }
 
-fn read_room(mut reader: Reader) -> CapacityLimits {
+fn read_capacity(mut reader: Reader) -> CapacityLimits {
     let default = CapacityLimits::default();
-    let mut part = |name: &str, default: f64| reader.real(name, default, 0.0..=10.0);
+    let mut ratio = |name: &str, default: f64| reader.float(name, default, 0.0..=10.0);
     let room = CapacityLimits {
-        copy_fill: part("copy_fill", default.copy_fill),
-        early: part("early", default.early),
-        fill: part("fill", default.fill),
-        hopeless: part("hopeless", default.hopeless),
-        late_fill: part("late_fill", default.late_fill),
+        copy_fill: ratio("copy_fill", default.copy_fill),
+        early: ratio("early", default.early),
+        fill: ratio("fill", default.fill),
+        hopeless: ratio("hopeless", default.hopeless),
+        late_fill: ratio("late_fill", default.late_fill),
         reading: reader.number("reading", u64::from(default.reading), 0..=1_000) as u32,
         refuse: reader.flag("refuse", default.refuse),
         sizes: reader.flag("sizes", default.sizes),
@@ -202,7 +202,7 @@
 fn read_shared(mut reader: Reader) -> SharedSettings {
     let default = SharedSettings::default();
     let shared = SharedSettings {
-        least: reader.real("least", default.least, 0.0..=10.0),
+        least: reader.float("least", default.least, 0.0..=10.0),
         paces: reader.flag("paces", default.paces),
         unsent: reader.flag("unsent", default.unsent),
     };
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -105,13 +105,13 @@
     clock: Clock,
     core: Core,
     driver: Driver,
-    fresh: Http,
+    fresh: HttpClient,
     kept: mpsc::UnboundedSender<keeper::Kept>,
     leaving: watch::Sender<Leaving>,
     meter: meter::Meter,
-    pooled: Http,
-    probes: Http,
-    relaying: Http,
+    pooled: HttpClient,
+    probes: HttpClient,
+    relaying: HttpClient,
     told: mpsc::UnboundedSender<gossip::Told>,
     traffic: Traffic,
     unknown: unknown::Unknown,
@@ -161,13 +161,13 @@
             clock,
             core,
             driver: driver.clone(),
-            fresh: Http::fresh(),
+            fresh: HttpClient::unpooled(),
             kept: ends.kept,
             leaving: ends.leaving,
             meter: ends.meter,
-            pooled: Http::pooled(),
-            probes: Http::control(&ends.traffic),
-            relaying: Http::relaying(),
+            pooled: HttpClient::pooled(),
+            probes: HttpClient::metered(&ends.traffic),
+            relaying: HttpClient::for_relays(),
             told: ends.told,
             traffic: ends.traffic,
             unknown: unknown::Unknown::default(),
@@ -251,7 +251,7 @@
                     }
                 }
                 _ = ticks.tick() => {
-                    if let Some(suspended_ms) = self.clock.notice() {
+                    if let Some(suspended_ms) = self.clock.detect_suspension() {
                         warn!(suspended_ms; "resumed");
                     }
                     self.event(Event::Tick);
@@ -364,7 +364,8 @@
             } => self.send(address, attempt, outbound, upstream),
             Effect::GossipStream(sighting) => self.tell_others(gossip::Told::Stream(sighting)),
             Effect::Observe(timing, millis) => {
-                self.meter.time(meter::Timed::Core(timing), millis as f64);
+                self.meter
+                    .observe(meter::Latency::Core(timing), millis as f64);
             }
         }
     }
@@ -380,7 +381,7 @@
     fn quarantine(&self, effect: effect::Quarantine) {
         match effect {
             effect::Quarantine::CheckCrash { address, life } => {
-                tokio::spawn(check::run(self.driver.clone(), address, life));
+                tokio::spawn(crash_check::run(self.driver.clone(), address, life));
             }
             effect::Quarantine::Release { own, print } => {
                 note::free(print);
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -37,7 +37,7 @@
 
 /// Stops a stream; a lost word costs no more than the stream's linger time.
 pub(crate) async fn cancel(
-    http: Http,
+    http: HttpClient,
     address: SocketAddr,
     stream: wellplank_core::effect::Stream,
 ) {
@@ -48,7 +48,7 @@
 
 /// Reads a stream to its end and tells the core task what comes.
 pub(crate) async fn run(
-    http: Http,
+    http: HttpClient,
     driver: Driver,
     attempt: attempt::Key,
     upstream: upstream::Key,
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -19,7 +19,7 @@
     /// The key-value service or the list did not answer as it should.
     Store(String),
     /// The platform's store did not answer in so many milliseconds.
-    Unanswered(u128),
+    StoreTimeout(u128),
 }
 
 impl Error {
@@ -27,7 +27,7 @@
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Read(..) | Self::Settings(..) => ExitCode::from(EXIT_USAGE),
-            Self::Bind(..) | Self::Runtime(_) | Self::Store(_) | Self::Unanswered(_) => {
+            Self::Bind(..) | Self::Runtime(_) | Self::Store(_) | Self::StoreTimeout(_) => {
                 ExitCode::FAILURE
             }
         }
@@ -49,7 +49,7 @@
                     .try_for_each(|fault| write!(formatter, "\n  {fault}"))
             }
             Self::Store(text) => write!(formatter, "platform: {text}"),
-            Self::Unanswered(millis) => write!(formatter, "platform: no answer in {millis} ms"),
+            Self::StoreTimeout(millis) => write!(formatter, "platform: no answer in {millis} ms"),
         }
     }
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -30,7 +30,7 @@
     bound: StalenessBound,
     clock: Clock,
     /// Makes and keeps connections; replaced when one of them may say nothing any more.
-    http: Arc<watch::Sender<Http>>,
+    http: Arc<watch::Sender<HttpClient>>,
     meter: meter::Meter,
 }
 
@@ -48,7 +48,7 @@
             address: hosted.store,
             bound,
             clock,
-            http: Arc::new(watch::Sender::new(Http::watching())),
+            http: Arc::new(watch::Sender::new(HttpClient::with_keepalive())),
             meter,
         }
     }
@@ -61,7 +61,7 @@
     /// Has later calls go over new connections: what took one of those that are kept may have taken all. Calls that are
     /// out go on.
     pub fn renew(&self) {
-        self.http.send_replace(Http::watching());
+        self.http.send_replace(HttpClient::with_keepalive());
     }
 
     /// Notes that the store has just answered another instance.
@@ -76,7 +76,7 @@
         let begun = Instant::now();
         let answer = self.exchange(call, Duration::ZERO, patience).await?;
         let millis = begun.elapsed().as_secs_f64() * 1_000.0;
-        self.meter.time(meter::Timed::Store, millis);
+        self.meter.observe(meter::Latency::Store, millis);
         Ok(answer)
     }
 
@@ -100,7 +100,7 @@
             }
             if !answered {
                 let now = self.clock.now();
-                let is_silent = matches!(answer, Err(Error::Unanswered(_)));
+                let is_silent = matches!(answer, Err(Error::StoreTimeout(_)));
                 absence.record_failure(if is_silent { due } else { now }, now);
             } else if let Some(away_ms) = absence.record_success(self.clock.now()) {
                 info!(away_ms; "the store is back");
@@ -121,7 +121,7 @@
             .await
             .map_err(|_| {
                 self.renew();
-                Error::Unanswered(patience.as_millis())
+                Error::StoreTimeout(patience.as_millis())
             })?
             .map_err(|error| Error::Store(error.to_string()))?;
         let status = response.status();
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -94,7 +94,7 @@
 
 impl Exchange {
     /// Sends the request and tells the core task what comes, up to the end of the answer.
-    pub async fn run(self, http: Http, request: Request<http::Body>) {
+    pub async fn run(self, http: HttpClient, request: Request<http::Body>) {
         if let Err(failure) = self.exchange(http, request).await {
             self.driver.event(Event::Failed {
                 attempt: self.attempt,
@@ -103,7 +103,11 @@
         }
     }
 
-    async fn exchange(&self, http: Http, request: Request<http::Body>) -> Result<(), Failure> {
+    async fn exchange(
+        &self,
+        http: HttpClient,
+        request: Request<http::Body>,
+    ) -> Result<(), Failure> {
         let response = http.send(request).await.map_err(|error| match error {
             http::Error::Broken(_) => Failure::Broken,
             http::Error::NotSent(_) => Failure::NotSent,
--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -32,7 +32,7 @@
 impl Page {
     fn handle(&self, response: &mut salvo::Response) {
         let _ = response.add_header(header::CONTENT_TYPE, "text/plain; version=0.0.4", true);
-        let _ = response.write_body(self.0.page());
+        let _ = response.write_body(self.0.render());
     }
 }
 
@@ -57,7 +57,7 @@
 pub async fn run(path: PathBuf, settings: Settings, hosted: Hosted) -> Result<(), Error> {
     let mut instance = Instance::start(settings.clone(), hosted).await?;
     let mut reload = reload::Reload::new(path, settings);
-    let terminated = instance::terminated();
+    let terminated = instance::wait_for_termination();
     tokio::pin!(terminated);
     loop {
         tokio::select! {
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -6,20 +6,20 @@
 pub(crate) type Body = Full<Bytes>;
 
 /// Time after which a connection can not be made.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after which a connection to an upstream can not be made; a hundred times what one takes
 /// between data centres, so that the request can still go elsewhere.
-const RELAY_CONNECT: Duration = Duration::from_millis(300);
+const RELAY_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time between probes of the kernel on a silent connection: the shortest that it knows.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time after which bytes that nobody acknowledged mean that the other end is gone.
-const SILENT: Duration = Duration::from_secs(1);
+const USER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after which an idle connection is closed.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why an exchange failed.
 #[derive(Debug)]
@@ -32,11 +32,11 @@
 
 /// Bytes of a request's or answer's first line beside its path, and of the headers that the client
 /// adds.
-const HEAD: usize = 60;
+const HEAD_BYTES: usize = 60;
 
 /// A client whose requests are never sent twice by itself.
 #[derive(Clone)]
-pub(crate) struct Http {
+pub(crate) struct HttpClient {
     client: Client<HttpConnector, Body>,
     traffic: Option<Traffic>,
 }
@@ -50,28 +50,15 @@
     }
 }
 
-impl Http {
-    /// A client that makes a new connection for each request.
-    pub fn fresh() -> Self {
-        Self::build(0)
-    }
-
-    /// A client that keeps connections and counts what it sends and receives.
-    pub fn control(traffic: &Traffic) -> Self {
-        Self {
-            traffic: Some(traffic.clone()),
-            ..Self::pooled()
-        }
-    }
-
+impl HttpClient {
     /// Sends a request and reads status and body of the whole answer.
     pub async fn exchange(&self, request: Request<Body>) -> Result<(StatusCode, Bytes), Error> {
-        let response = self.exchange_whole(request).await?;
+        let response = self.exchange_with_headers(request).await?;
         Ok((response.status(), response.into_body()))
     }
 
     /// Sends a request and reads the whole answer.
-    pub async fn exchange_whole(
+    pub async fn exchange_with_headers(
         &self,
         request: Request<Body>,
     ) -> Result<hyper::Response<Bytes>, Error> {
@@ -79,10 +66,24 @@
         let body = body.collect().await;
         let body = body.map_err(|error| Error::Broken(error.to_string()))?;
         let body = body.to_bytes();
-        self.count(HEAD + size(&head.headers) + body.len());
+        self.count(HEAD_BYTES + header_bytes(&head.headers) + body.len());
         Ok(hyper::Response::from_parts(head, body))
     }
 
+    /// A client that makes a new connection for each relayed request, so that no answer of another
+    /// request can come on it, and that notices within about a second when the other end is gone.
+    pub fn for_relays() -> Self {
+        Self::build_with(0, RELAY_CONNECT_TIMEOUT, Some(USER_TIMEOUT))
+    }
+
+    /// A client that keeps connections and counts what it sends and receives.
+    pub fn metered(traffic: &Traffic) -> Self {
+        Self {
+            traffic: Some(traffic.clone()),
+            ..Self::pooled()
+        }
+    }
+
     /// A client that keeps connections.
     pub fn pooled() -> Self {
         Self::build(8)
@@ -95,7 +96,9 @@
     ) -> Result<hyper::Response<hyper::body::Incoming>, Error> {
         let body = hyper::body::Body::size_hint(request.body()).exact();
         let path = request.uri().path().len();
-        self.count(HEAD + path + size(request.headers()) + body.unwrap_or(0) as usize);
+        self.count(
+            HEAD_BYTES + path + header_bytes(request.headers()) + body.unwrap_or(0) as usize,
+        );
         self.client.request(request).await.map_err(|error| {
             if error.is_connect() {
                 Error::NotSent(error.to_string())
@@ -105,34 +108,37 @@
         })
     }
 
-    /// A client that makes a new connection for each relayed request, so that no answer of another
-    /// request can come on it, and that notices within about a second when the other end is gone.
-    pub fn relaying() -> Self {
-        Self::build_with(0, RELAY_CONNECT, Some(SILENT))
+    /// A client that makes a new connection for each request.
+    pub fn unpooled() -> Self {
+        Self::build(0)
     }
 
     /// A client that keeps connections to a store and notices when the path to it is gone.
-    pub fn watching() -> Self {
-        Self::build_with(4, CONNECT, Some(SILENT))
+    pub fn with_keepalive() -> Self {
+        Self::build_with(4, CONNECT_TIMEOUT, Some(USER_TIMEOUT))
     }
 
-    fn build(idle: usize) -> Self {
-        Self::build_with(idle, CONNECT, None)
+    fn build(max_idle: usize) -> Self {
+        Self::build_with(max_idle, CONNECT_TIMEOUT, None)
     }
 
-    fn build_with(idle: usize, connect: Duration, silent: Option<Duration>) -> Self {
+    fn build_with(
+        max_idle: usize,
+        connect_timeout: Duration,
+        user_timeout: Option<Duration>,
+    ) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
-        if let Some(silent) = silent {
-            connector.set_keepalive(Some(KEEPALIVE));
-            connector.set_keepalive_interval(Some(KEEPALIVE));
+        if let Some(user_timeout) = user_timeout {
+            connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+            connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
             connector.set_keepalive_retries(Some(1));
-            connector.set_tcp_user_timeout(Some(silent));
+            connector.set_tcp_user_timeout(Some(user_timeout));
         }
         let client = Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE)
-            .pool_max_idle_per_host(idle)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(max_idle)
             .retry_canceled_requests(false)
             .build(connector);
         Self {
@@ -164,7 +170,7 @@
 }
 
 /// Bytes of headers as they are written.
-pub(crate) fn size(headers: &hyper::HeaderMap) -> usize {
+pub(crate) fn header_bytes(headers: &hyper::HeaderMap) -> usize {
     let size = |(name, value): (&header::HeaderName, &header::HeaderValue)| {
         name.as_str().len() + value.len() + ": \r\n".len()
     };
--- a/crates/node/src/instance.rs
+++ b/crates/node/src/instance.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// Time between two looks at whether a stopping instance may leave.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running instance.
 pub struct Instance {
-    drained: watch::Receiver<bool>,
+    drain_requested: watch::Receiver<bool>,
     driver: Driver,
     server: salvo::server::ServerHandle,
     serving: JoinHandle<()>,
@@ -29,9 +29,9 @@
     /// Starts every task of an instance.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
         let clock = Clock::new();
-        let patience = Duration::from_millis(settings.store_timeout_ms);
+        let store_timeout = Duration::from_millis(settings.store_timeout_ms);
         let traffic = Traffic::default();
-        let store = Store::new(settings.platform.store, patience, &traffic);
+        let store = Store::new(settings.platform.store, store_timeout, &traffic);
         let (claims, claim_orders) = mpsc::unbounded_channel();
         let (orders, revision_orders) = mpsc::unbounded_channel();
         let (held, held_here) = watch::channel(revision::Held::default());
@@ -67,7 +67,7 @@
             settings: settings.clone(),
             traffic: traffic.clone(),
         };
-        let (drain, drained) = watch::channel(false);
+        let (drain, drain_requested) = watch::channel(false);
         let operators = operator::Service {
             drain,
             driver: driver.clone(),
@@ -114,7 +114,7 @@
         let address = settings.listen.callers.to_string();
         info!(address; "started");
         Ok(Self {
-            drained,
+            drain_requested,
             driver,
             server: handle,
             serving,
@@ -124,34 +124,38 @@
         })
     }
 
-    /// Waits until an operator asks that the instance stop.
-    pub async fn drained(&self) {
-        let mut drained = self.drained.clone();
-        if drained.wait_for(|drained| *drained).await.is_err() {
-            // The operators' side has ended; only a signal can stop the instance now.
-            std::future::pending::<()>().await;
-        }
-    }
-
     /// Stops as planned: is no longer ready, answers what it has and what still comes, and leaves
     /// when nothing has run for a while.
     pub async fn stop(mut self) {
         self.stopping.store(true, Ordering::Relaxed);
         let settle = Duration::from_millis(self.settings.settle_ms);
-        let mut quiet = Instant::now();
-        while quiet.elapsed() < settle {
-            sleep(LOOK).await;
+        let mut idle_since = Instant::now();
+        while idle_since.elapsed() < settle {
+            sleep(POLL_INTERVAL).await;
             if self.driver.status().await.running > 0 {
-                quiet = Instant::now();
+                idle_since = Instant::now();
             }
         }
         self.server.stop_graceful(None);
         let _ = (&mut self.serving).await;
     }
+
+    /// Waits until an operator asks that the instance stop.
+    pub async fn wait_for_drain_request(&self) {
+        let mut drain_requested = self.drain_requested.clone();
+        if drain_requested
+            .wait_for(|drain_requested| *drain_requested)
+            .await
+            .is_err()
+        {
+            // The operators' side has ended; only a signal can stop the instance now.
+            std::future::pending::<()>().await;
+        }
+    }
 }
 
 /// Waits until the process is told to stop.
-pub(crate) async fn terminated() {
+pub(crate) async fn wait_for_termination() {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate()).expect("signals can be waited for");
     tokio::select! {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -16,10 +16,11 @@
 mod answer;
 mod caller;
 mod calls;
-mod check;
 mod claimer;
 mod committer;
 mod completions;
+mod core_settings;
+mod crash_check;
 mod engine;
 mod feed;
 mod forward;
@@ -41,7 +42,6 @@
 mod revision;
 mod store;
 mod traffic;
-mod tuning;
 mod unknown;
 
 pub use {caller::fingerprint, clock::Clock, error::Error, instance::Instance, settings::Settings};
@@ -53,7 +53,7 @@
     clap::{Arg, ArgMatches, Command},
     driver::Driver,
     futures_util::{SinkExt, Stream, StreamExt},
-    http::Http,
+    http::HttpClient,
     http_body_util::{BodyExt, Full},
     hyper::{Request, StatusCode, header},
     hyper_util::{
@@ -117,7 +117,7 @@
 /// Runs the command that the arguments name.
 pub fn run() -> ExitCode {
     let ended = arguments::run(&arguments::command().get_matches());
-    logger::finish();
+    logger::flush();
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -39,7 +39,7 @@
     sender: watch::Sender<Vec<Line>>,
     traffic: Traffic,
 ) {
-    let http = Http::control(&traffic);
+    let http = HttpClient::metered(&traffic);
     let mut ticks = interval(Duration::from_millis(settings.list_ms));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut tag = None;
@@ -79,13 +79,13 @@
     }
 }
 
-async fn read(http: &Http, address: SocketAddr, tag: Option<&header::HeaderValue>) -> Read {
+async fn read(http: &HttpClient, address: SocketAddr, tag: Option<&header::HeaderValue>) -> Read {
     let mut request = http::get(address, "/instances");
     if let Some(tag) = tag {
         let headers = request.headers_mut();
         headers.insert(header::IF_NONE_MATCH, tag.clone());
     }
-    let exchange = timeout(PATIENCE, http.exchange_whole(request));
+    let exchange = timeout(PATIENCE, http.exchange_with_headers(request));
     let Ok(Ok(response)) = exchange.await else {
         return Read::Failed;
     };
--- a/crates/node/src/logger.rs
+++ b/crates/node/src/logger.rs
@@ -10,20 +10,20 @@
 };
 
 /// Lines that may wait to be written: a second or two of a busy instance, below half a megabyte.
-const QUEUE: usize = 1_024;
+const QUEUE_LINES: usize = 1_024;
 
 /// Lines of one message that are written within a second; the rest is counted.
-const PER_SECOND: u32 = 200;
+const MAX_LINES_PER_SECOND: u32 = 200;
 
 /// Longest time that the end of a process waits for lines that are not written yet. Nobody may read
 /// them.
-const LAST: Duration = Duration::from_millis(100);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Lines dropped since the start.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Lines handed to the thread that writes, and not yet written.
-static WAITING: AtomicU64 = AtomicU64::new(0);
+static PENDING_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Lines of each message within the second that runs.
 struct Sampler {
@@ -42,35 +42,35 @@
 
     /// Whether a line with this message is written; else it is left out and counted. With the first
     /// line of a second comes the number left out in the one before.
-    fn take(&mut self, message: &str, now: Time) -> Option<u32> {
+    fn admit(&mut self, message: &str, now: Time) -> Option<u32> {
         let second = now.0 / 1_000;
         let mut left_out = 0;
         if second != self.second {
             self.second = second;
-            let over = self
+            let excess = self
                 .lines
                 .values()
-                .map(|lines| lines.saturating_sub(PER_SECOND));
-            left_out = over.sum();
+                .map(|lines| lines.saturating_sub(MAX_LINES_PER_SECOND));
+            left_out = excess.sum();
             self.lines.clear();
         }
         let lines = self.lines.entry(message.to_owned()).or_default();
         *lines += 1;
-        (*lines <= PER_SECOND).then_some(left_out)
+        (*lines <= MAX_LINES_PER_SECOND).then_some(left_out)
     }
 }
 
 /// Waits until the lines of a process that ends are written, or for a short time.
-pub(crate) fn finish() {
-    let end = Instant::now() + LAST;
-    while WAITING.load(Ordering::Acquire) > 0 && Instant::now() < end {
+pub(crate) fn flush() {
+    let end = Instant::now() + FLUSH_TIMEOUT;
+    while PENDING_LINES.load(Ordering::Acquire) > 0 && Instant::now() < end {
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 /// Lines dropped since the start, since nobody read them.
-pub(crate) fn dropped() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+pub(crate) fn dropped_lines() -> u64 {
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 struct Visitor<'a>(&'a mut Map<String, Value>);
@@ -91,31 +91,31 @@
 }
 
 /// Takes lines and hands them to the thread that writes.
-pub(crate) struct Pipe {
+pub(crate) struct QueueWriter {
     dropped: u64,
     lines: SyncSender<Vec<u8>>,
 }
 
-impl Pipe {
-    /// A pipe whose lines come on the receiver; at most `size` of them wait.
+impl QueueWriter {
+    /// A queue whose lines come on the receiver; at most `size` of them wait.
     pub fn new(size: usize) -> (Self, Receiver<Vec<u8>>) {
         let (lines, receiver) = sync_channel(size);
         (Self { dropped: 0, lines }, receiver)
     }
 
     fn send(&mut self, line: Vec<u8>) -> bool {
-        WAITING.fetch_add(1, Ordering::Release);
+        PENDING_LINES.fetch_add(1, Ordering::Release);
         match self.lines.try_send(line) {
             Ok(()) => true,
             Err(TrySendError::Disconnected(_) | TrySendError::Full(_)) => {
-                WAITING.fetch_sub(1, Ordering::Release);
+                PENDING_LINES.fetch_sub(1, Ordering::Release);
                 false
             }
         }
     }
 }
 
-impl Write for Pipe {
+impl Write for QueueWriter {
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
     }
@@ -123,15 +123,15 @@
     /// Takes one line whole. Never fails and never waits.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.dropped > 0 {
-            let told =
+            let notice =
                 json!({ "level": "warn", "message": "log lines dropped", "lines": self.dropped });
-            if self.send(format!("{told}\n").into_bytes()) {
+            if self.send(format!("{notice}\n").into_bytes()) {
                 self.dropped = 0;
             }
         }
         if !self.send(line.to_vec()) {
             self.dropped += 1;
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -141,9 +141,9 @@
 pub(crate) fn start(instance: &str) {
     let instance = instance.to_owned();
     let clock = Clock::new();
-    let (pipe, lines) = Pipe::new(QUEUE);
+    let (queue, lines) = QueueWriter::new(QUEUE_LINES);
     let sampler = std::sync::Mutex::new(Sampler::new());
-    std::thread::spawn(move || write(&lines, &mut io::stdout().lock()));
+    std::thread::spawn(move || write_lines(&lines, &mut io::stdout().lock()));
     let environment = env_logger::Env::default().default_filter_or("info");
     let started = env_logger::Builder::from_env(environment)
         .format(move |target, record| {
@@ -153,7 +153,7 @@
             let mut sampler = sampler
                 .lock()
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
-            let Some(left_out) = sampler.take(&message, now) else {
+            let Some(left_out) = sampler.admit(&message, now) else {
                 return Ok(());
             };
             drop(sampler);
@@ -171,7 +171,7 @@
             let _ = record.key_values().visit(&mut Visitor(&mut line));
             writeln!(target, "{}", Value::Object(line))
         })
-        .target(env_logger::Target::Pipe(Box::new(pipe)))
+        .target(env_logger::Target::Pipe(Box::new(queue)))
         .try_init();
     if let Err(error) = started {
         eprintln!("logging was started before: {error}");
@@ -179,10 +179,10 @@
 }
 
 /// Writes lines until there is no one left who sends any, or they can not be written.
-fn write(lines: &Receiver<Vec<u8>>, output: &mut impl Write) {
+fn write_lines(lines: &Receiver<Vec<u8>>, output: &mut impl Write) {
     for line in lines {
         let written = output.write_all(&line).and_then(|()| output.flush());
-        WAITING.fetch_sub(1, Ordering::Release);
+        PENDING_LINES.fetch_sub(1, Ordering::Release);
         if written.is_err() {
             return;
         }
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -11,14 +11,14 @@
 
 /// Bounds of the buckets of every histogram, in milliseconds: from the time of a call within a data
 /// centre to that of a long answer, with the pauses and objectives of callers between.
-const BUCKETS: [f64; 14] = [
+const BUCKET_BOUNDS_MS: [f64; 14] = [
     2.0, 5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 700.0, 1_500.0, 3_000.0, 4_500.0, 10_000.0,
     25_000.0,
 ];
 
 /// What is timed at the edges, beside the core's timings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Timed {
+pub(crate) enum Latency {
     /// What the core times.
     Core(Timing),
     /// A call of the platform's store that is no waiting read.
@@ -28,13 +28,13 @@
 /// Counters and histograms of an instance. Clones share them.
 #[derive(Clone)]
 pub(crate) struct Meter {
-    client: Option<Arc<StatsdClient>>,
+    statsd: Option<Arc<StatsdClient>>,
     counters: IntCounterVec,
     histograms: HistogramVec,
     registry: Registry,
 }
 
-impl Timed {
+impl Latency {
     fn name(self) -> &'static str {
         match self {
             Self::Core(Timing::Answer) => "answer",
@@ -51,7 +51,7 @@
     pub fn count(&self, counter: Counter, count: u64) {
         let name = counter.to_string();
         self.counters.with_label_values(&[&name]).inc_by(count);
-        if let Some(client) = &self.client {
+        if let Some(client) = &self.statsd {
             // A sink that is away must not stop the instance.
             let _ = client.count(&name, count.cast_signed());
         }
@@ -81,7 +81,7 @@
         let counters = Opts::new("wellplank_events_total", "Events by their name.");
         let counters = IntCounterVec::new(counters, &["event"]).expect("the names are valid");
         let histograms = HistogramOpts::new("wellplank_latency_ms", "Times in milliseconds.")
-            .buckets(BUCKETS.to_vec());
+            .buckets(BUCKET_BOUNDS_MS.to_vec());
         let histograms = HistogramVec::new(histograms, &["what"]).expect("the names are valid");
         let registry = Registry::new();
         for collector in [
@@ -93,42 +93,42 @@
                 .expect("each name is registered once");
         }
         Self {
-            client: sink.and_then(Self::client).map(Arc::new),
+            statsd: sink.and_then(Self::connect_statsd).map(Arc::new),
             counters,
             histograms,
             registry,
         }
     }
 
+    /// Notes how long something took, in milliseconds.
+    pub fn observe(&self, latency: Latency, millis: f64) {
+        self.histograms
+            .with_label_values(&[latency.name()])
+            .observe(millis);
+    }
+
     /// The text page.
-    pub fn page(&self) -> Vec<u8> {
+    pub fn render(&self) -> Vec<u8> {
         let mut page = Vec::new();
         let families = self.registry.gather();
         if let Err(error) = TextEncoder::new().encode(&families, &mut page) {
             warn!("the page of counters can not be written: {error}");
         }
-        let dropped = logger::dropped();
+        let dropped = logger::dropped_lines();
         let name = "wellplank_log_lines_dropped_total";
         page.extend_from_slice(format!("# TYPE {name} counter\n{name} {dropped}\n").as_bytes());
         page
     }
 
-    /// Notes how long something took, in milliseconds.
-    pub fn time(&self, timed: Timed, millis: f64) {
-        self.histograms
-            .with_label_values(&[timed.name()])
-            .observe(millis);
-    }
-
-    fn client(sink: SocketAddr) -> Option<StatsdClient> {
+    fn connect_statsd(sink: SocketAddr) -> Option<StatsdClient> {
         let socket = std::net::UdpSocket::bind("0.0.0.0:0").ok()?;
         socket.set_nonblocking(true).ok()?;
         let sink = UdpMetricSink::from(sink, socket).ok()?;
         let queue = QueuingMetricSink::with_capacity(sink, 10_000);
-        Some(Self::statsd(queue))
+        Some(Self::statsd_client(queue))
     }
 
-    fn statsd(
+    fn statsd_client(
         sink: impl MetricSink + Send + Sync + std::panic::RefUnwindSafe + 'static,
     ) -> StatsdClient {
         StatsdClient::from_sink(PREFIX, sink)
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -7,7 +7,7 @@
 
 /// Sends one call and tells the core task the answer.
 pub(crate) async fn run(
-    http: Http,
+    http: HttpClient,
     driver: Driver,
     attempt: attempt::Key,
     upstream: upstream::Key,
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -28,7 +28,12 @@
 }
 
 /// Probes an upstream and tells the core task what it said.
-pub(crate) async fn run(http: Http, driver: Driver, upstream: upstream::Key, address: SocketAddr) {
+pub(crate) async fn run(
+    http: HttpClient,
+    driver: Driver,
+    upstream: upstream::Key,
+    address: SocketAddr,
+) {
     let exchange = http.exchange(http::get(address, "/load"));
     let answer = timeout(PATIENCE, exchange).await;
     let report = match answer {
--- a/crates/node/src/reader.rs
+++ b/crates/node/src/reader.rs
@@ -25,14 +25,23 @@
 }
 
 impl<'a> Reader<'a> {
+    /// Notes a fault of a field.
+    pub fn add_fault(&mut self, name: &str, text: impl Into<String>) {
+        let place = self.place(name);
+        self.faults.push(Fault {
+            place,
+            text: text.into(),
+        });
+    }
+
     /// An address and port; a fault if it is missing.
     pub fn address(&mut self, name: &str) -> SocketAddr {
-        let read = self.text(name, None).map(|text| text.parse());
+        let read = self.string(name, None).map(|text| text.parse());
         if let Some(Ok(address)) = read {
             return address;
         }
         if read.is_some() {
-            self.fault(name, "must be an address and a port, as 10.0.0.1:8080");
+            self.add_fault(name, "must be an address and a port, as 10.0.0.1:8080");
         }
         SocketAddr::from(([0, 0, 0, 0], 0))
     }
@@ -47,36 +56,27 @@
     }
 
     /// One of the `known` ways, by its name.
-    pub fn choice<T: Copy>(&mut self, name: &str, known: &[(&str, T)], default: T) -> T {
+    pub fn choice<T: Copy>(&mut self, name: &str, options: &[(&str, T)], default: T) -> T {
         if !self.fields.contains_key(name) {
             return default;
         }
-        let Some(text) = self.text(name, None) else {
+        let Some(text) = self.string(name, None) else {
             return default;
         };
-        if let Some((_, way)) = known.iter().find(|(known, _)| *known == text) {
-            return *way;
+        if let Some((_, value)) = options.iter().find(|(option, _)| *option == text) {
+            return *value;
         }
-        let names: Vec<&str> = known.iter().map(|(known, _)| *known).collect();
+        let names: Vec<&str> = options.iter().map(|(option, _)| *option).collect();
         let text = format!("`{text}` must be one of {}", names.join(", "));
-        self.fault(name, text);
+        self.add_fault(name, text);
         default
     }
 
-    /// Notes a fault of a field.
-    pub fn fault(&mut self, name: &str, text: impl Into<String>) {
-        let place = self.place(name);
-        self.faults.push(Fault {
-            place,
-            text: text.into(),
-        });
-    }
-
     /// Notes every field that was not read.
     pub fn finish(mut self) {
         let unknown: Vec<String> = self.fields.keys().cloned().collect();
         for name in unknown {
-            self.fault(&name, "no such setting");
+            self.add_fault(&name, "no such setting");
         }
     }
 
@@ -86,52 +86,52 @@
             None => default,
             Some(Value::Bool(value)) => value,
             Some(value) => {
-                self.fault(name, format!("{value} must be true or false"));
+                self.add_fault(name, format!("{value} must be true or false"));
                 default
             }
         }
     }
 
-    /// The object at the top of a file.
-    pub fn new(value: Value, faults: &'a mut Vec<Fault>) -> Self {
-        Self::object(value, faults, String::new())
-    }
-
-    /// A whole number within `range`.
-    pub fn number(&mut self, name: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
+    /// A number within `range`, with a fraction if need be.
+    pub fn float(&mut self, name: &str, default: f64, range: RangeInclusive<f64>) -> f64 {
         let Some(value) = self.fields.remove(name) else {
             return default;
         };
-        if let Some(number) = value.as_u64().filter(|number| range.contains(number)) {
+        if let Some(number) = value.as_f64().filter(|number| range.contains(number)) {
             return number;
         }
         let (low, high) = (range.start(), range.end());
-        let text = format!("{value} must be a whole number from {low} to {high}");
-        self.fault(name, text);
+        self.add_fault(
+            name,
+            format!("{value} must be a number from {low} to {high}"),
+        );
         default
     }
 
-    /// A number within `range`, with a fraction if need be.
-    pub fn real(&mut self, name: &str, default: f64, range: RangeInclusive<f64>) -> f64 {
+    /// A share within 0 to 1.
+    pub fn fraction(&mut self, name: &str, default: f64) -> f64 {
+        self.float(name, default, 0.0..=1.0)
+    }
+
+    /// The object at the top of a file.
+    pub fn new(value: Value, faults: &'a mut Vec<Fault>) -> Self {
+        Self::object(value, faults, String::new())
+    }
+
+    /// A whole number within `range`.
+    pub fn number(&mut self, name: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let Some(value) = self.fields.remove(name) else {
             return default;
         };
-        if let Some(number) = value.as_f64().filter(|number| range.contains(number)) {
+        if let Some(number) = value.as_u64().filter(|number| range.contains(number)) {
             return number;
         }
         let (low, high) = (range.start(), range.end());
-        self.fault(
-            name,
-            format!("{value} must be a number from {low} to {high}"),
-        );
+        let text = format!("{value} must be a whole number from {low} to {high}");
+        self.add_fault(name, text);
         default
     }
 
-    /// A share within 0 to 1.
-    pub fn share(&mut self, name: &str, default: f64) -> f64 {
-        self.real(name, default, 0.0..=1.0)
-    }
-
     /// Reads an object within this one; all its fields have defaults if it is missing.
     pub fn section(&mut self, name: &str) -> Reader<'_> {
         let value = self
@@ -150,16 +150,16 @@
     }
 
     /// A text that is not empty; a fault if it is missing and has no default.
-    pub fn text(&mut self, name: &str, default: Option<&str>) -> Option<String> {
+    pub fn string(&mut self, name: &str, default: Option<&str>) -> Option<String> {
         match self.fields.remove(name) {
             None if default.is_some() => default.map(str::to_owned),
             Some(Value::String(text)) if !text.is_empty() => Some(text),
             None => {
-                self.fault(name, "is missing");
+                self.add_fault(name, "is missing");
                 None
             }
             Some(value) => {
-                self.fault(name, format!("{value} must be a text that is not empty"));
+                self.add_fault(name, format!("{value} must be a text that is not empty"));
                 None
             }
         }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -67,7 +67,7 @@
         response: &mut salvo::Response,
     ) -> Result<(), Kind> {
         let limits = *self.limits.borrow();
-        if http::size(request.headers()) > limits.max_header_bytes {
+        if http::header_bytes(request.headers()) > limits.max_header_bytes {
             return Err(Kind::HeadTooLarge);
         }
         let body = body(request, limits).await?;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -38,7 +38,7 @@
                 continue;
             }
             self.changed = now;
-            match arguments::read(&self.path) {
+            match arguments::read_settings(&self.path) {
                 Ok(settings) => {
                     let same = settings == self.settings;
                     info!(cause, same; "settings read again");
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -6,7 +6,7 @@
 const SECRET_BYTES: usize = 32;
 
 /// Megabits a second that an instance's link carries at least, where nothing is said.
-const LINK_MBPS: f64 = 10.0;
+const DEFAULT_LINK_MBPS: f64 = 10.0;
 
 /// Longest time a setting may give, in milliseconds.
 pub(crate) const MILLIS_MAX: u64 = 3_600_000;
@@ -117,7 +117,7 @@
         json!({
             "body_max": 4 << 20,
             "claim_writes": 160,
-            "core": tuning::defaults(),
+            "core": core_settings::defaults(),
             "data_centre": "a",
             "heartbeat_ms": 500,
             "instance": "entry-1",
@@ -140,21 +140,21 @@
     fn read(reader: &mut Reader) -> Self {
         let hosted = reader.section_or_none("hosted").map(Self::read_hosted);
         if hosted.is_some() {
-            return Self::read_shared(reader, hosted);
+            return Self::read_common(reader, hosted);
         }
         Self {
-            operator_key: reader.text("operator_key", None).unwrap_or_default(),
+            operator_key: reader.string("operator_key", None).unwrap_or_default(),
             platform: Self::read_platform(reader.section("platform")),
             secret: Self::read_secret(reader),
-            ..Self::read_shared(reader, None)
+            ..Self::read_common(reader, None)
         }
     }
 
     /// Reads what every instance has.
-    fn read_shared(reader: &mut Reader, hosted: Option<Hosted>) -> Self {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let data_centre = reader.text("data_centre", None).unwrap_or_default();
-        let core = tuning::read(reader.section("core"));
+    fn read_common(reader: &mut Reader, hosted: Option<Hosted>) -> Self {
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+        let data_centre = reader.string("data_centre", None).unwrap_or_default();
+        let core = core_settings::read(reader.section("core"));
         Self {
             body_max: reader.number("body_max", 4 << 20, 1_024..=256 << 20) as usize,
             claim_writes: reader.number("claim_writes", 160, 1..=10_000),
@@ -162,15 +162,15 @@
             data_centre,
             hosted,
             heartbeat_ms: reader.number("heartbeat_ms", 500, 50..=10_000),
-            instance: reader.text("instance", None).unwrap_or_default(),
+            instance: reader.string("instance", None).unwrap_or_default(),
             list_ms: reader.number("list_ms", 1_000, 50..=60_000),
             listen: Self::read_listen(reader.section("listen"), hosted.is_some()),
             metrics: reader.address_or_none("metrics"),
             operator_key: String::new(),
             peer_links: reader.number("peer_links", 4, 1..=16) as usize,
             platform: Platform {
-                list: nowhere,
-                store: nowhere,
+                list: unspecified,
+                store: unspecified,
             },
             secret: [0; SECRET_BYTES],
             settle_ms: reader.number("settle_ms", 3_000, 0..=MILLIS_MAX),
@@ -183,7 +183,7 @@
             apply_ms: reader.number("apply_ms", 2_000, 100..=MILLIS_MAX),
             grace_ms: reader.number("grace_ms", 8_000, 100..=MILLIS_MAX),
             heartbeat_ms: reader.number("heartbeat_ms", 1_200, 50..=MILLIS_MAX),
-            link_mbps: reader.real("link_mbps", LINK_MBPS, 0.1..=1e6),
+            link_mbps: reader.float("link_mbps", DEFAULT_LINK_MBPS, 0.1..=1e6),
             leave_ms: reader.number("leave_ms", 2_000, 100..=MILLIS_MAX),
             metrics: reader.address("metrics"),
             peers: reader.address("peers"),
@@ -223,18 +223,18 @@
     }
 
     fn read_secret(reader: &mut Reader) -> cursor::Secret {
-        let Some(text) = reader.text("secret", None) else {
+        let Some(text) = reader.string("secret", None) else {
             return [0; SECRET_BYTES];
         };
-        hex(&text).unwrap_or_else(|| {
-            reader.fault("secret", "must be 64 hexadecimal digits");
+        parse_hex(&text).unwrap_or_else(|| {
+            reader.add_fault("secret", "must be 64 hexadecimal digits");
             [0; SECRET_BYTES]
         })
     }
 }
 
 /// Reads hexadecimal digits.
-pub fn hex<const N: usize>(text: &str) -> Option<[u8; N]> {
+pub fn parse_hex<const N: usize>(text: &str) -> Option<[u8; N]> {
     if text.len() != 2 * N || !text.is_ascii() {
         return None;
     }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -48,7 +48,7 @@
 #[derive(Clone)]
 pub(crate) struct Store {
     address: SocketAddr,
-    http: Http,
+    http: HttpClient,
     patience: Duration,
 }
 
@@ -141,7 +141,7 @@
     pub fn new(address: SocketAddr, patience: Duration, traffic: &Traffic) -> Self {
         Self {
             address,
-            http: Http::control(traffic),
+            http: HttpClient::metered(traffic),
             patience,
         }
     }
--- a/crates/node/tests/clock.rs
+++ b/crates/node/tests/clock.rs
@@ -7,12 +7,12 @@
 };
 
 #[gtest]
-fn machine_that_was_not_suspended_notices_nothing() {
+fn no_suspension_is_detected_on_a_running_machine() {
     let clock = Clock::new();
-    let begun = clock.now();
+    let started_at = clock.now();
     for _ in 0..20 {
         sleep(Duration::from_millis(5));
-        expect_that!(clock.notice(), none());
+        expect_that!(clock.detect_suspension(), none());
     }
-    expect_that!(clock.now().since(begun), ge(100));
+    expect_that!(clock.now().since(started_at), ge(100));
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -52,12 +52,12 @@
 }
 
 #[gtest]
-fn defaults_are_without_fault() {
+fn defaults_have_no_faults() {
     expect_that!(Test::new().faults(), is_empty());
 }
 
 #[gtest]
-fn defaults_hold_every_setting() {
+fn parsed_defaults_equal_core_defaults() {
     let read = Settings::parse(&Settings::defaults().to_string()).unwrap();
     expect_that!(
         read.core,
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn every_fault_is_named_in_one_pass() {
+fn all_faults_are_reported_in_one_pass() {
     let faults = Test::new()
         .set("/listen/callers", json!("nowhere"))
         .set("/core/queue_max", json!(0))
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn unknown_ways_are_told_with_those_that_there_are() {
+fn unknown_option_is_reported_with_the_valid_ones() {
     let faults = Test::new()
         .set("/core/relay_resume", json!("twice"))
         .set("/core/routing", json!(3))
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn missing_names_are_faults() {
+fn missing_required_settings_are_faults() {
     let faults = Settings::parse("{}").unwrap_err();
     let places: Vec<&str> = faults.iter().map(|fault| fault.place.as_str()).collect();
     expect_that!(places, contains(eq(&"instance")));
@@ -110,7 +110,7 @@
 }
 
 #[gtest]
-fn text_that_is_no_json_is_one_fault() {
+fn invalid_json_is_one_fault() {
     expect_that!(Settings::parse("{").unwrap_err().len(), eq(1));
     expect_that!(Settings::parse("[]").unwrap_err().is_empty(), eq(false));
 }
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn check_exits_with_2_and_names_the_faults() {
+fn check_exits_with_2_and_prints_the_faults() {
     let (code, _, error) = Test::new().set("/body_max", json!("big")).check();
     expect_that!(code, some(eq(2)));
     expect_that!(
@@ -135,7 +135,7 @@
 }
 
 #[gtest]
-fn check_of_right_settings_says_ok() {
+fn check_of_valid_settings_prints_ok() {
     let (code, output, _) = Test::new().check();
     expect_that!(code, some(eq(0)));
     expect_that!(output, eq("ok\n"));
