--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -2,33 +2,33 @@
 
 use super::*;
 
-/// The command line.
+/// Definition of the command line: `check`, `defaults` and `run`.
 pub fn command() -> Command {
     let settings = Arg::new("settings")
-        .help("JSON file with the settings of this instance")
+        .help("JSON file with the settings of the instance")
         .long("settings")
         .required(true)
         .value_name("FILE")
         .value_parser(clap::value_parser!(PathBuf));
     Command::new("wellplank")
-        .about("Serves long generations whole on engines that fail")
+        .about("Serves requests to language models on engines that may fail")
         .arg_required_else_help(true)
         .subcommand(
             Command::new("check")
-                .about("Names every fault of a settings file")
+                .about("Reports all faults of a settings file")
                 .arg(settings.clone()),
         )
-        .subcommand(Command::new("defaults").about("Prints settings at their defaults"))
+        .subcommand(Command::new("defaults").about("Prints the default settings"))
         .subcommand(
             Command::new("run")
-                .about("Runs one instance until it is told to stop")
+                .about("Runs an instance until a signal or an operator stops it")
                 .arg(settings),
         )
         .subcommand_required(true)
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-/// Runs the command that the arguments name.
+/// Runs the subcommand that was parsed into `matches`.
 pub fn run(matches: &ArgMatches) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("check", arguments)) => {
@@ -51,11 +51,11 @@
 fn settings_path(arguments: &ArgMatches) -> &Path {
     let path: &PathBuf = arguments
         .get_one("settings")
-        .expect("the command line requires it");
+        .expect("clap requires --settings");
     path
 }
 
-/// Reads a settings file.
+/// Reads and validates a settings file.
 pub fn read_settings(path: &Path) -> Result<Settings, Error> {
     let text =
         std::fs::read_to_string(path).map_err(|error| Error::Read(path.to_owned(), error))?;
--- a/crates/node/src/core_settings.rs
+++ b/crates/node/src/core_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the decisions, section `core`: their defaults, and reading them.
+//! The settings section `core`: its defaults, and how it is read.
 
 use super::*;
 use reader::Reader;
@@ -8,7 +8,7 @@
     Routing, Settings, SharedSettings,
 };
 
-/// The section with every setting at its default.
+/// The section with all settings at their defaults.
 pub(crate) fn defaults() -> Value {
     let core = Settings::default();
     json!({
@@ -80,7 +80,7 @@
     })
 }
 
-/// Reads them; what is not given has its default.
+/// Reads the section; missing settings have their defaults.
 pub(crate) fn read(mut reader: Reader) -> Settings {
     let default = Settings::default();
     let mut millis = |name: &str, default: u64| reader.number(name, default, 1..=MILLIS_MAX);
@@ -103,7 +103,7 @@
     if stall_min_ms > stall_max_ms {
         reader.add_fault(
             "stall_min_ms",
-            format!("{stall_min_ms} must not be above stall_max_ms, {stall_max_ms}"),
+            format!("{stall_min_ms} must not exceed stall_max_ms, {stall_max_ms}"),
         );
     }
     let attempts_max = u64::from(default.attempts_max);
--- a/crates/node/src/crash_check.rs
+++ b/crates/node/src/crash_check.rs
@@ -1,14 +1,14 @@
-//! Finds out whether an upstream has ended whose connections broke: nobody listens at its address then.
+//! Checks whether an upstream whose connections broke has crashed: if so, nothing listens at its address.
 
 use super::*;
 use std::io::ErrorKind;
 use tokio::net::TcpStream;
 
-/// Time that a connection may take; one between data centres takes a hundredth of it.
+/// Connect timeout: a hundred times the connect time between data centres.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Tries a connection and tells the core task what came of it. Only a refusal says that the process is gone: a link that
-/// carries nothing says the same of one that runs.
+/// Tries to connect and reports the outcome to the core task. Only a refused or reset connection proves that the process
+/// has ended: a timeout may also be due to a broken link to a running process.
 pub(crate) async fn run(driver: Driver, address: SocketAddr, life: Incarnation) {
     let result = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let is_refused = |error: &std::io::Error| {
@@ -16,6 +16,6 @@
         kind == ErrorKind::ConnectionRefused || kind == ErrorKind::ConnectionReset
     };
     let ended = result.is_ok_and(|connected| connected.is_err_and(|error| is_refused(&error)));
-    debug!(ended; "{address}: checked whether it has ended");
+    debug!(ended; "crash check of {address} finished");
     driver.event(Event::CrashChecked { ended, life });
 }
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,24 +1,24 @@
-//! Errors of the command line and of the edges.
+//! Errors of the command line, the sockets and the platform's services.
 
 use super::*;
 
-/// Exit code for settings or arguments that are wrong.
+/// Exit code for a settings file that is unreadable or invalid.
 const EXIT_USAGE: u8 = 2;
 
-/// What can go wrong outside a request.
+/// Errors outside the handling of requests.
 #[derive(Debug)]
 pub enum Error {
-    /// An address could not be listened on.
+    /// Listening on an address failed.
     Bind(SocketAddr, std::io::Error),
-    /// A file could not be read.
+    /// Reading a file failed.
     Read(PathBuf, std::io::Error),
-    /// The runtime could not be started.
+    /// Starting the async runtime failed.
     Runtime(std::io::Error),
-    /// Settings with faults.
+    /// A settings file has faults.
     Settings(PathBuf, Vec<Fault>),
-    /// The key-value service or the list did not answer as it should.
+    /// A call of the platform's store failed or returned invalid data.
     Store(String),
-    /// The platform's store did not answer in so many milliseconds.
+    /// The platform's store did not respond within this time, in milliseconds.
     StoreTimeout(u128),
 }
 
@@ -37,19 +37,23 @@
 impl Display for Error {
     fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
         match self {
-            Self::Bind(address, error) => write!(formatter, "can not listen on {address}: {error}"),
+            Self::Bind(address, error) => {
+                write!(formatter, "failed to listen on {address}: {error}")
+            }
             Self::Read(path, error) => {
-                write!(formatter, "can not read {}: {error}", path.display())
+                write!(formatter, "failed to read {}: {error}", path.display())
             }
-            Self::Runtime(error) => write!(formatter, "can not start the runtime: {error}"),
+            Self::Runtime(error) => write!(formatter, "failed to start the async runtime: {error}"),
             Self::Settings(path, faults) => {
-                write!(formatter, "{} faults in {}", faults.len(), path.display())?;
+                write!(formatter, "{} has {} faults", path.display(), faults.len())?;
                 faults
                     .iter()
                     .try_for_each(|fault| write!(formatter, "\n  {fault}"))
             }
             Self::Store(text) => write!(formatter, "platform: {text}"),
-            Self::StoreTimeout(millis) => write!(formatter, "platform: no answer in {millis} ms"),
+            Self::StoreTimeout(millis) => {
+                write!(formatter, "platform: no response within {millis} ms")
+            }
         }
     }
 }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -1,40 +1,40 @@
-//! The HTTP client towards upstreams and the platform.
+//! HTTP client for upstreams and the platform.
 
 use super::*;
 
-/// Body that is sent.
+/// Body of a request, held in memory.
 pub(crate) type Body = Full<Bytes>;
 
-/// Time after which a connection can not be made.
+/// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which a connection to an upstream can not be made; a hundred times what one takes
-/// between data centres, so that the request can still go elsewhere.
+/// Connect timeout for relayed requests: a hundred times the connect time between data centres, and
+/// short enough to send the request to another upstream afterwards.
 const RELAY_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time between probes of the kernel on a silent connection: the shortest that it knows.
+/// Idle time before TCP keepalive probes, and interval between them: the minimum of the kernel.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after which bytes that nobody acknowledged mean that the other end is gone.
+/// TCP user timeout: a connection is closed when sent data stays unacknowledged for this long.
 const USER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which an idle connection is closed.
+/// Time after which an idle pooled connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why an exchange failed.
 #[derive(Debug)]
 pub(crate) enum Error {
-    /// The connection broke, or the answer was not to be read, after bytes may have left.
+    /// The connection broke, or the response was malformed, after bytes may have been sent.
     Broken(String),
-    /// No byte left.
+    /// No connection could be established: nothing was sent.
     NotSent(String),
 }
 
-/// Bytes of a request's or answer's first line beside its path, and of the headers that the client
-/// adds.
+/// Estimated bytes of a request line or status line without the path, and of the headers that the
+/// client adds.
 const HEAD_BYTES: usize = 60;
 
-/// A client whose requests are never sent twice by itself.
+/// An HTTP client that never retries a request on its own.
 #[derive(Clone)]
 pub(crate) struct HttpClient {
     client: Client<HttpConnector, Body>,
@@ -44,20 +44,20 @@
 impl Display for Error {
     fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
         match self {
-            Self::Broken(text) => write!(formatter, "broken: {text}"),
-            Self::NotSent(text) => write!(formatter, "not sent: {text}"),
+            Self::Broken(text) => write!(formatter, "request failed: {text}"),
+            Self::NotSent(text) => write!(formatter, "request not sent: {text}"),
         }
     }
 }
 
 impl HttpClient {
-    /// Sends a request and reads status and body of the whole answer.
+    /// Sends a request and reads the complete response; returns its status and body.
     pub async fn exchange(&self, request: Request<Body>) -> Result<(StatusCode, Bytes), Error> {
         let response = self.exchange_with_headers(request).await?;
         Ok((response.status(), response.into_body()))
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response, including its headers.
     pub async fn exchange_with_headers(
         &self,
         request: Request<Body>,
@@ -70,13 +70,13 @@
         Ok(hyper::Response::from_parts(head, body))
     }
 
-    /// A client that makes a new connection for each relayed request, so that no answer of another
-    /// request can come on it, and that notices within about a second when the other end is gone.
+    /// A client for relayed requests. It opens a connection per request, so that the response to
+    /// another request can not arrive on it, and detects a dead peer within about a second.
     pub fn for_relays() -> Self {
         Self::build_with(0, RELAY_CONNECT_TIMEOUT, Some(USER_TIMEOUT))
     }
 
-    /// A client that keeps connections and counts what it sends and receives.
+    /// A client with a connection pool that counts its messages and bytes in `traffic`.
     pub fn metered(traffic: &Traffic) -> Self {
         Self {
             traffic: Some(traffic.clone()),
@@ -84,12 +84,12 @@
         }
     }
 
-    /// A client that keeps connections.
+    /// A client with a connection pool.
     pub fn pooled() -> Self {
         Self::build(8)
     }
 
-    /// Sends a request and reads the head of the answer.
+    /// Sends a request and reads the response up to its headers.
     pub async fn send(
         &self,
         request: Request<Body>,
@@ -108,12 +108,12 @@
         })
     }
 
-    /// A client that makes a new connection for each request.
+    /// A client that opens a new connection for each request.
     pub fn unpooled() -> Self {
         Self::build(0)
     }
 
-    /// A client that keeps connections to a store and notices when the path to it is gone.
+    /// A client with a connection pool that detects by TCP keepalive when a store is unreachable.
     pub fn with_keepalive() -> Self {
         Self::build_with(4, CONNECT_TIMEOUT, Some(USER_TIMEOUT))
     }
@@ -154,22 +154,22 @@
     }
 }
 
-/// A request with a JSON body.
+/// Builds a POST request with a JSON body.
 pub(crate) fn post(address: SocketAddr, path: &str, body: &Value) -> Request<Body> {
     Request::post(format!("http://{address}{path}"))
         .header(header::CONTENT_TYPE, "application/json")
         .body(Body::from(body.to_string()))
-        .expect("address and path make a uri")
+        .expect("address and path form a valid URI")
 }
 
-/// A request without a body.
+/// Builds a GET request.
 pub(crate) fn get(address: SocketAddr, path: &str) -> Request<Body> {
     Request::get(format!("http://{address}{path}"))
         .body(Body::default())
-        .expect("address and path make a uri")
+        .expect("address and path form a valid URI")
 }
 
-/// Bytes of headers as they are written.
+/// Size of headers in HTTP/1 format, in bytes.
 pub(crate) fn header_bytes(headers: &hyper::HeaderMap) -> usize {
     let size = |(name, value): (&header::HeaderName, &header::HeaderValue)| {
         name.as_str().len() + value.len() + ": \r\n".len()
--- a/crates/node/src/instance.rs
+++ b/crates/node/src/instance.rs
@@ -1,11 +1,11 @@
-//! One instance: its tasks, started and stopped together.
+//! Start and stop of an instance with all of its tasks.
 
 use super::*;
 
-/// Time between two looks at whether a stopping instance may leave.
+/// Interval at which a stopping instance checks whether requests still run.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A running instance.
+/// A running instance; dropping it aborts its tasks.
 pub struct Instance {
     drain_requested: watch::Receiver<bool>,
     driver: Driver,
@@ -26,7 +26,7 @@
 }
 
 impl Instance {
-    /// Starts every task of an instance.
+    /// Binds all addresses and starts all tasks of an instance.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
         let clock = Clock::new();
         let store_timeout = Duration::from_millis(settings.store_timeout_ms);
@@ -124,8 +124,8 @@
         })
     }
 
-    /// Stops as planned: is no longer ready, answers what it has and what still comes, and leaves
-    /// when nothing has run for a while.
+    /// Shuts down gracefully: reports that it is not ready, goes on serving running and new requests,
+    /// and stops once no request has run for `settle_ms`.
     pub async fn stop(mut self) {
         self.stopping.store(true, Ordering::Relaxed);
         let settle = Duration::from_millis(self.settings.settle_ms);
@@ -140,7 +140,7 @@
         let _ = (&mut self.serving).await;
     }
 
-    /// Waits until an operator asks that the instance stop.
+    /// Waits until an operator requests that the instance drain and stop.
     pub async fn wait_for_drain_request(&self) {
         let mut drain_requested = self.drain_requested.clone();
         if drain_requested
@@ -148,16 +148,17 @@
             .await
             .is_err()
         {
-            // The operators' side has ended; only a signal can stop the instance now.
+            // The operator server has ended: only a signal can stop the instance now.
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Waits until the process is told to stop.
+/// Waits for SIGTERM or SIGINT.
 pub(crate) async fn wait_for_termination() {
     use tokio::signal::unix::{SignalKind, signal};
-    let mut terminate = signal(SignalKind::terminate()).expect("signals can be waited for");
+    let mut terminate =
+        signal(SignalKind::terminate()).expect("the SIGTERM handler can be installed");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
@@ -178,6 +179,6 @@
         .serve_with_incoming(incoming)
         .await;
     if let Err(error) = served {
-        error!("operators: {error}");
+        error!("operator server failed: {error}");
     }
 }
--- a/crates/node/src/logger.rs
+++ b/crates/node/src/logger.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines on standard output, which never hold the instance up.
+//! Logging as JSON lines on standard output that never blocks the instance.
 //!
-//! Lines go through a queue of fixed size to a thread that writes them. When nobody reads them the
-//! queue fills, and lines are dropped and counted.
+//! Lines pass through a bounded queue to a writer thread. If nothing reads standard output, the
+//! queue fills up, and further lines are dropped and counted.
 
 use super::*;
 use std::{
@@ -9,30 +9,29 @@
     sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel},
 };
 
-/// Lines that may wait to be written: a second or two of a busy instance, below half a megabyte.
+/// Capacity of the queue: lines of one or two seconds of a busy instance, under half a megabyte.
 const QUEUE_LINES: usize = 1_024;
 
-/// Lines of one message that are written within a second; the rest is counted.
+/// Maximum lines per second with the same message; further ones are left out and counted.
 const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// Longest time that the end of a process waits for lines that are not written yet. Nobody may read
-/// them.
+/// Maximum time for which the process waits for unwritten lines at its exit: standard output may
+/// have no reader.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Lines dropped since the start.
+/// Lines dropped since the start of the process.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines handed to the thread that writes, and not yet written.
+/// Lines in the queue that the writer thread has not written yet.
 static PENDING_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines of each message within the second that runs.
+/// Limits the lines with the same message per second.
 struct Sampler {
     lines: HashMap<String, u32>,
     second: u64,
 }
 
 impl Sampler {
-    /// A sampler that has seen nothing.
     fn new() -> Self {
         Self {
             lines: HashMap::new(),
@@ -40,8 +39,8 @@
         }
     }
 
-    /// Whether a line with this message is written; else it is left out and counted. With the first
-    /// line of a second comes the number left out in the one before.
+    /// Returns `None` if a line with this message is to be left out. Otherwise returns, for the
+    /// first line of a second, how many lines were left out in the second before, and 0 for others.
     fn admit(&mut self, message: &str, now: Time) -> Option<u32> {
         let second = now.0 / 1_000;
         let mut left_out = 0;
@@ -60,7 +59,7 @@
     }
 }
 
-/// Waits until the lines of a process that ends are written, or for a short time.
+/// Waits until all queued lines are written, for at most `FLUSH_TIMEOUT`.
 pub(crate) fn flush() {
     let end = Instant::now() + FLUSH_TIMEOUT;
     while PENDING_LINES.load(Ordering::Acquire) > 0 && Instant::now() < end {
@@ -68,7 +67,7 @@
     }
 }
 
-/// Lines dropped since the start, since nobody read them.
+/// Lines dropped since the start of the process because the queue was full.
 pub(crate) fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
@@ -90,14 +89,14 @@
     }
 }
 
-/// Takes lines and hands them to the thread that writes.
+/// Writer that puts lines into the queue of the writer thread.
 pub(crate) struct QueueWriter {
     dropped: u64,
     lines: SyncSender<Vec<u8>>,
 }
 
 impl QueueWriter {
-    /// A queue whose lines come on the receiver; at most `size` of them wait.
+    /// Creates a queue of at most `size` lines, which are read from the receiver.
     pub fn new(size: usize) -> (Self, Receiver<Vec<u8>>) {
         let (lines, receiver) = sync_channel(size);
         (Self { dropped: 0, lines }, receiver)
@@ -120,7 +119,7 @@
         Ok(())
     }
 
-    /// Takes one line whole. Never fails and never waits.
+    /// Queues one complete line, or drops it if the queue is full. Never fails and never blocks.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.dropped > 0 {
             let notice =
@@ -137,7 +136,7 @@
     }
 }
 
-/// Starts logging; the level is taken from `RUST_LOG`, `info` if that is not set.
+/// Initializes logging; the level is taken from `RUST_LOG` and defaults to `info`.
 pub(crate) fn start(instance: &str) {
     let instance = instance.to_owned();
     let clock = Clock::new();
@@ -149,7 +148,7 @@
         .format(move |target, record| {
             let message = record.args().to_string();
             let now = clock.now();
-            // A panic elsewhere while a line is counted loses a count, not the log.
+            // A panic while the lock was held may lose a count, but must not stop logging.
             let mut sampler = sampler
                 .lock()
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -174,11 +173,11 @@
         .target(env_logger::Target::Pipe(Box::new(queue)))
         .try_init();
     if let Err(error) = started {
-        eprintln!("logging was started before: {error}");
+        eprintln!("logging is already initialized: {error}");
     }
 }
 
-/// Writes lines until there is no one left who sends any, or they can not be written.
+/// Writes lines until all senders are gone or a write fails.
 fn write_lines(lines: &Receiver<Vec<u8>>, output: &mut impl Write) {
     for line in lines {
         let written = output.write_all(&line).and_then(|()| output.flush());
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary `wellplank`: one instance.
+//! The `wellplank` binary, which runs one instance.
 
 fn main() -> std::process::ExitCode {
     wellplank_node::run()
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -1,31 +1,31 @@
-//! Counters and latency histograms: kept for `wellplankctl status`, sent to a statsd sink, and given
-//! as a text page.
+//! Counters and latency histograms, for `wellplankctl status`, a statsd sink and scrapes by
+//! Prometheus.
 
 use super::*;
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, Opts, Registry, TextEncoder,
 };
 
-/// Prefix of every metric.
+/// Prefix of all metrics sent to statsd.
 const PREFIX: &str = "wellplank";
 
-/// Bounds of the buckets of every histogram, in milliseconds: from the time of a call within a data
-/// centre to that of a long answer, with the pauses and objectives of callers between.
+/// Upper bounds of the buckets of all histograms, in milliseconds: from a call within a data centre
+/// to a long response, with the latency objectives and tolerated pauses of callers in between.
 const BUCKET_BOUNDS_MS: [f64; 14] = [
     2.0, 5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 700.0, 1_500.0, 3_000.0, 4_500.0, 10_000.0,
     25_000.0,
 ];
 
-/// What is timed at the edges, beside the core's timings.
+/// What a latency histogram measures: one label value per variant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Latency {
-    /// What the core times.
+    /// A latency reported by the core.
     Core(Timing),
-    /// A call of the platform's store that is no waiting read.
+    /// A call of the platform's store other than a long poll.
     Store,
 }
 
-/// Counters and histograms of an instance. Clones share them.
+/// Counters and histograms of an instance, shared by all clones.
 #[derive(Clone)]
 pub(crate) struct Meter {
     statsd: Option<Arc<StatsdClient>>,
@@ -47,17 +47,17 @@
 }
 
 impl Meter {
-    /// Counts something.
+    /// Adds `count` to a counter, also at the statsd sink.
     pub fn count(&self, counter: Counter, count: u64) {
         let name = counter.to_string();
         self.counters.with_label_values(&[&name]).inc_by(count);
         if let Some(client) = &self.statsd {
-            // A sink that is away must not stop the instance.
+            // An unreachable sink must not stop the instance.
             let _ = client.count(&name, count.cast_signed());
         }
     }
 
-    /// All counts by name.
+    /// The values of all counters, by name.
     pub fn counts(&self) -> Vec<schema::Count> {
         let families = self.registry.gather();
         let counters = families
@@ -76,13 +76,15 @@
             .collect()
     }
 
-    /// Counters that are sent to `sink`, if one is given.
+    /// Creates empty metrics; counters are also sent to the statsd server at `sink`, if any.
     pub fn new(sink: Option<SocketAddr>) -> Self {
         let counters = Opts::new("wellplank_events_total", "Events by their name.");
-        let counters = IntCounterVec::new(counters, &["event"]).expect("the names are valid");
+        let counters =
+            IntCounterVec::new(counters, &["event"]).expect("metric and label names are valid");
         let histograms = HistogramOpts::new("wellplank_latency_ms", "Times in milliseconds.")
             .buckets(BUCKET_BOUNDS_MS.to_vec());
-        let histograms = HistogramVec::new(histograms, &["what"]).expect("the names are valid");
+        let histograms =
+            HistogramVec::new(histograms, &["what"]).expect("metric and label names are valid");
         let registry = Registry::new();
         for collector in [
             Box::new(counters.clone()) as Box<dyn prometheus::core::Collector>,
@@ -90,7 +92,7 @@
         ] {
             registry
                 .register(collector)
-                .expect("each name is registered once");
+                .expect("each metric is registered once");
         }
         Self {
             statsd: sink.and_then(Self::connect_statsd).map(Arc::new),
@@ -100,19 +102,19 @@
         }
     }
 
-    /// Notes how long something took, in milliseconds.
+    /// Adds an observation in milliseconds to the histogram of a latency.
     pub fn observe(&self, latency: Latency, millis: f64) {
         self.histograms
             .with_label_values(&[latency.name()])
             .observe(millis);
     }
 
-    /// The text page.
+    /// All metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut page = Vec::new();
         let families = self.registry.gather();
         if let Err(error) = TextEncoder::new().encode(&families, &mut page) {
-            warn!("the page of counters can not be written: {error}");
+            warn!("failed to encode the metrics: {error}");
         }
         let dropped = logger::dropped_lines();
         let name = "wellplank_log_lines_dropped_total";
--- a/crates/node/src/reader.rs
+++ b/crates/node/src/reader.rs
@@ -1,17 +1,17 @@
-//! Reading JSON settings field by field, so that every fault of a file is found in one pass.
+//! Reads JSON settings field by field, so that all faults of a file are found in one pass.
 
 use super::*;
 
-/// One fault of a file.
+/// An invalid, missing or unknown setting.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// Where, as `listen.callers`.
+    /// Path of the setting, such as `listen.callers`; `file` for the whole file.
     pub place: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong, and which values are valid.
     pub text: String,
 }
 
-/// One object of a file; fields are taken out as they are read.
+/// Reads one JSON object; fields are removed as they are read.
 pub struct Reader<'a> {
     faults: &'a mut Vec<Fault>,
     fields: Map<String, Value>,
@@ -25,7 +25,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Notes a fault of a field.
+    /// Records a fault of a field.
     pub fn add_fault(&mut self, name: &str, text: impl Into<String>) {
         let place = self.place(name);
         self.faults.push(Fault {
@@ -34,19 +34,22 @@
         });
     }
 
-    /// An address and port; a fault if it is missing.
+    /// Reads a required IP address and port.
     pub fn address(&mut self, name: &str) -> SocketAddr {
         let read = self.string(name, None).map(|text| text.parse());
         if let Some(Ok(address)) = read {
             return address;
         }
         if read.is_some() {
-            self.add_fault(name, "must be an address and a port, as 10.0.0.1:8080");
+            self.add_fault(
+                name,
+                "must be an IP address and port, such as 10.0.0.1:8080",
+            );
         }
         SocketAddr::from(([0, 0, 0, 0], 0))
     }
 
-    /// An address and port, if given.
+    /// Reads an optional IP address and port.
     pub fn address_or_none(&mut self, name: &str) -> Option<SocketAddr> {
         if matches!(self.fields.get(name), None | Some(Value::Null)) {
             self.fields.remove(name);
@@ -55,7 +58,7 @@
         Some(self.address(name))
     }
 
-    /// One of the `known` ways, by its name.
+    /// Reads one of `options` by its name.
     pub fn choice<T: Copy>(&mut self, name: &str, options: &[(&str, T)], default: T) -> T {
         if !self.fields.contains_key(name) {
             return default;
@@ -72,15 +75,15 @@
         default
     }
 
-    /// Notes every field that was not read.
+    /// Records every field that was not read as unknown.
     pub fn finish(mut self) {
         let unknown: Vec<String> = self.fields.keys().cloned().collect();
         for name in unknown {
-            self.add_fault(&name, "no such setting");
+            self.add_fault(&name, "unknown setting");
         }
     }
 
-    /// True or false.
+    /// Reads a boolean.
     pub fn flag(&mut self, name: &str, default: bool) -> bool {
         match self.fields.remove(name) {
             None => default,
@@ -92,7 +95,7 @@
         }
     }
 
-    /// A number within `range`, with a fraction if need be.
+    /// Reads a floating-point number within `range`.
     pub fn float(&mut self, name: &str, default: f64, range: RangeInclusive<f64>) -> f64 {
         let Some(value) = self.fields.remove(name) else {
             return default;
@@ -108,17 +111,17 @@
         default
     }
 
-    /// A share within 0 to 1.
+    /// Reads a floating-point number from 0 to 1.
     pub fn fraction(&mut self, name: &str, default: f64) -> f64 {
         self.float(name, default, 0.0..=1.0)
     }
 
-    /// The object at the top of a file.
+    /// Reads the top-level object of a file; faults are added to `faults`.
     pub fn new(value: Value, faults: &'a mut Vec<Fault>) -> Self {
         Self::object(value, faults, String::new())
     }
 
-    /// A whole number within `range`.
+    /// Reads an integer within `range`.
     pub fn number(&mut self, name: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let Some(value) = self.fields.remove(name) else {
             return default;
@@ -127,12 +130,12 @@
             return number;
         }
         let (low, high) = (range.start(), range.end());
-        let text = format!("{value} must be a whole number from {low} to {high}");
+        let text = format!("{value} must be an integer from {low} to {high}");
         self.add_fault(name, text);
         default
     }
 
-    /// Reads an object within this one; all its fields have defaults if it is missing.
+    /// Reads a nested object; a missing one is read as if it were empty.
     pub fn section(&mut self, name: &str) -> Reader<'_> {
         let value = self
             .fields
@@ -142,14 +145,14 @@
         Reader::object(value, self.faults, path)
     }
 
-    /// Reads an object within this one, if it is given.
+    /// Reads an optional nested object.
     pub fn section_or_none(&mut self, name: &str) -> Option<Reader<'_>> {
         let value = self.fields.remove(name)?;
         let path = self.place(name);
         Some(Reader::object(value, self.faults, path))
     }
 
-    /// A text that is not empty; a fault if it is missing and has no default.
+    /// Reads a non-empty string, which is required unless there is a default.
     pub fn string(&mut self, name: &str, default: Option<&str>) -> Option<String> {
         match self.fields.remove(name) {
             None if default.is_some() => default.map(str::to_owned),
@@ -159,7 +162,7 @@
                 None
             }
             Some(value) => {
-                self.add_fault(name, format!("{value} must be a text that is not empty"));
+                self.add_fault(name, format!("{value} must be a non-empty string"));
                 None
             }
         }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -2,84 +2,84 @@
 
 use super::*;
 
-/// Bytes of the secret that authenticates cursors.
+/// Length of the secret that authenticates cursors, in bytes.
 const SECRET_BYTES: usize = 32;
 
-/// Megabits a second that an instance's link carries at least, where nothing is said.
+/// Default of `link_mbps`: the minimum bandwidth of an instance's link, in megabits per second.
 const DEFAULT_LINK_MBPS: f64 = 10.0;
 
-/// Longest time a setting may give, in milliseconds.
+/// Upper limit of settings that are times, in milliseconds.
 pub(crate) const MILLIS_MAX: u64 = 3_600_000;
 
-/// Settings of an instance.
+/// Settings of an instance; the fields have the names of the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Bytes of a caller's body, at most.
+    /// Maximum size of a request body, in bytes.
     pub body_max: usize,
-    /// Bounds and rates of the decisions.
+    /// Limits, rates and policies of the core.
     pub core: wellplank_core::settings::Settings,
-    /// Data centre that this instance stands in.
+    /// Data centre of this instance.
     pub data_centre: String,
     /// Settings of an instance on the users' platform; `None` elsewhere.
     pub hosted: Option<Hosted>,
-    /// Time between two heartbeats to a peer, in milliseconds.
+    /// Interval between heartbeats to a peer, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Unique name in the platform's list.
+    /// Unique name of the instance in the platform's list.
     pub instance: String,
-    /// Where it listens.
+    /// Addresses that the instance listens on.
     pub listen: Listen,
-    /// Time between two reads of the platform's list, in milliseconds.
+    /// Interval between reads of the platform's list, in milliseconds.
     pub list_ms: u64,
-    /// Where counters are sent, if anywhere.
+    /// Statsd server that counters are sent to; `None` to send none.
     pub metrics: Option<SocketAddr>,
-    /// Key that operators must give.
+    /// Key that authenticates operators.
     pub operator_key: String,
-    /// Outgoing links to other instances, at most.
+    /// Maximum number of outgoing links to other instances.
     pub peer_links: usize,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: Platform,
     /// Secret that authenticates cursors; the same on every instance.
     pub secret: cursor::Secret,
-    /// Time without a new request after which a stopping instance leaves, in milliseconds.
+    /// Time without running requests after which a stopping instance exits, in milliseconds.
     pub settle_ms: u64,
-    /// Time after which a call of the key-value service has failed, in milliseconds.
+    /// Timeout of calls to the key-value service, in milliseconds.
     pub store_timeout_ms: u64,
-    /// Claim writes a second that all instances together may make.
+    /// Maximum rate of claim writes of all instances together, per second.
     pub claim_writes: u64,
 }
 
-/// Settings of an instance on the users' platform. There it has no operators' port and no links to
-/// other instances; what it must know lies in the platform's store.
+/// Settings of an instance on the users' platform. There it has no port for operators and no links
+/// to other instances; the state that it depends on is in the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hosted {
-    /// Time within which a change of the configuration must be in force, in milliseconds.
+    /// Time within which a change of the configuration must take effect, in milliseconds.
     pub apply_ms: u64,
-    /// Time from the signal to stop to the end that the platform gives, in milliseconds.
+    /// Grace period from SIGTERM until the platform kills the process, in milliseconds.
     pub grace_ms: u64,
-    /// Time between two writes of an upstream's entry in the store, in milliseconds.
+    /// Interval at which an upstream rewrites its entry in the store, in milliseconds.
     pub heartbeat_ms: u64,
-    /// What the instance's own link carries, in megabits a second.
+    /// Bandwidth of the instance's own link, in megabits per second.
     pub link_mbps: f64,
-    /// Time in which a leaving upstream must get no more work, in milliseconds.
+    /// Time within which a draining upstream must stop being given work, in milliseconds.
     pub leave_ms: u64,
-    /// Where the page of counters is served.
+    /// Address that serves the metrics to Prometheus.
     pub metrics: SocketAddr,
-    /// Where other instances' datagrams come.
+    /// UDP address for gossip from other instances.
     pub peers: SocketAddr,
-    /// Where the platform asks whether the instance is ready.
+    /// Address that serves the platform's readiness checks.
     pub ready: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
 }
 
 /// Addresses that an instance listens on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Listen {
-    /// Callers.
+    /// For callers, over HTTP.
     pub callers: SocketAddr,
-    /// Operators.
+    /// For operators, over gRPC.
     pub operators: SocketAddr,
-    /// Other instances.
+    /// For links from other instances.
     pub peers: SocketAddr,
 }
 
@@ -93,12 +93,12 @@
 }
 
 impl Settings {
-    /// Reads settings; every fault of the text in one pass.
+    /// Parses settings, or returns all of their faults.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let value = serde_json::from_str(text).map_err(|error| {
             vec![Fault {
                 place: "file".into(),
-                text: format!("not json: {error}"),
+                text: format!("invalid JSON: {error}"),
             }]
         })?;
         let mut faults = Vec::new();
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A file that holds every setting at its default, with examples where there is none.
+    /// A settings file with all settings at their defaults, or at an example if they have none.
     pub fn defaults() -> Value {
         json!({
             "body_max": 4 << 20,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Reads what every instance has.
+    /// Reads the settings of hosted and other instances alike.
     fn read_common(reader: &mut Reader, hosted: Option<Hosted>) -> Self {
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         let data_centre = reader.string("data_centre", None).unwrap_or_default();
@@ -233,7 +233,7 @@
     }
 }
 
-/// Reads hexadecimal digits.
+/// Parses `text` as `N` bytes in hexadecimal; `None` if that fails.
 pub fn parse_hex<const N: usize>(text: &str) -> Option<[u8; N]> {
     if text.len() != 2 * N || !text.is_ascii() {
         return None;
--- a/crates/node/tests/clock.rs
+++ b/crates/node/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of an instance.
+//! The clock of an instance advances, and reports no suspension of a machine that runs on.
 
 use {
     googletest::prelude::*,
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every fault in one pass, and the command line that names them.
+//! Settings: all faults are found in one pass, and `wellplank check` prints them.
 
 use {
     googletest::prelude::*,
@@ -7,7 +7,7 @@
     wellplank_node::Settings,
 };
 
-/// A settings file with changes.
+/// The default settings, with changes.
 struct Test {
     settings: Value,
 }
@@ -77,11 +77,11 @@
     expect_that!(
         faults,
         unordered_elements_are![
-            starts_with("listen.callers: must be an address"),
-            eq("core.queue_max: 0 must be a whole number from 1 to 1000000"),
+            starts_with("listen.callers: must be an IP address and port"),
+            eq("core.queue_max: 0 must be an integer from 1 to 1000000"),
             eq("core.retry_earn: 2.0 must be a number from 0 to 1"),
             eq("secret: must be 64 hexadecimal digits"),
-            eq("unknown: no such setting"),
+            eq("unknown: unknown setting"),
         ]
     );
 }
@@ -96,7 +96,7 @@
         faults,
         unordered_elements_are![
             eq("core.relay_resume: `twice` must be one of copy, anew, none"),
-            eq("core.routing: 3 must be a text that is not empty"),
+            eq("core.routing: 3 must be a non-empty string"),
         ]
     );
 }
@@ -130,7 +130,7 @@
     expect_that!(code, some(eq(2)));
     expect_that!(
         error,
-        contains_substring("body_max: \"big\" must be a whole number")
+        contains_substring("body_max: \"big\" must be an integer")
     );
 }
 
