--- a/crates/node/src/instance.rs
+++ b/crates/node/src/instance.rs
@@ -32,11 +32,11 @@
         let store_timeout = Duration::from_millis(settings.store_timeout_ms);
         let traffic = Traffic::default();
         let store = Store::new(settings.platform.store, store_timeout, &traffic);
-        let (claims, claim_orders) = mpsc::unbounded_channel();
-        let (orders, revision_orders) = mpsc::unbounded_channel();
-        let (held, held_here) = watch::channel(revision::Held::default());
-        let (list, listed) = watch::channel(Vec::new());
-        let (peers, peers_heard) = watch::channel(peer::Peers::new());
+        let (claims, claim_receiver) = mpsc::unbounded_channel();
+        let (orders, revision_receiver) = mpsc::unbounded_channel();
+        let (held, held_receiver) = watch::channel(revision::Held::default());
+        let (list, list_receiver) = watch::channel(Vec::new());
+        let (peers, peers_receiver) = watch::channel(peer::Peers::new());
         let stopping = Arc::new(AtomicBool::new(false));
 
         let peer_socket = listen(settings.listen.peers).await?;
@@ -46,13 +46,13 @@
             .await
             .map_err(|error| Error::Bind(settings.listen.callers, std::io::Error::other(error)))?;
 
-        let (leaving, leaving_here) = watch::channel(driver::Leaving::new());
+        let (leaving, leaving_receiver) = watch::channel(driver::Leaving::new());
         let meter = meter::Meter::new(settings.metrics);
         let ends = driver::Ends::new(claims.clone(), leaving, meter, traffic.clone());
         let (driver, core) = Driver::start(&settings, clock, ends);
         let claimer = claimer::Claimer {
             driver: driver.clone(),
-            list: listed.clone(),
+            list: list_receiver.clone(),
             orders: claims.clone(),
             settings: settings.clone(),
             store: store.clone(),
@@ -60,8 +60,8 @@
         let links = peer::Links {
             claims,
             driver: driver.clone(),
-            leaving: leaving_here,
-            held: held_here.clone(),
+            leaving: leaving_receiver,
+            held: held_receiver.clone(),
             orders: orders.clone(),
             peers,
             settings: settings.clone(),
@@ -71,10 +71,10 @@
         let operators = operator::Service {
             drain,
             driver: driver.clone(),
-            held: held_here.clone(),
-            list: listed.clone(),
+            held: held_receiver.clone(),
+            list: list_receiver.clone(),
             orders: orders.clone(),
-            peers: peers_heard,
+            peers: peers_receiver,
             settings: settings.clone(),
             stopping: stopping.clone(),
         };
@@ -82,7 +82,7 @@
             clock,
             driver: driver.clone(),
             held,
-            list: listed.clone(),
+            list: list_receiver.clone(),
             store: store.clone(),
         };
         let router = caller::router(&settings, &driver, &stopping);
@@ -90,7 +90,7 @@
         let handle = server.handle();
         let tasks = vec![
             core,
-            tokio::spawn(claimer.run(claim_orders)),
+            tokio::spawn(claimer.run(claim_receiver)),
             tokio::spawn(list::run(
                 settings.clone(),
                 clock,
@@ -98,16 +98,16 @@
                 list,
                 traffic,
             )),
-            tokio::spawn(revisions.run(revision_orders)),
+            tokio::spawn(revisions.run(revision_receiver)),
             tokio::spawn(revision::watch(
                 settings.clone(),
                 store,
-                listed.clone(),
+                list_receiver.clone(),
                 orders,
-                held_here,
+                held_receiver,
             )),
             tokio::spawn(links.clone().accept(peer_socket)),
-            tokio::spawn(links.connect(listed)),
+            tokio::spawn(links.connect(list_receiver)),
             tokio::spawn(serve_operators(operators, operator_socket)),
         ];
         let serving = tokio::spawn(server.serve(router));
