--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -5,7 +5,7 @@
 /// Body of a request, held in memory.
 pub(crate) type Body = Full<Bytes>;
 
-/// Connect timeout.
+/// Connect timeout of all requests except relayed ones.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Connect timeout for relayed requests: a hundred times the connect time between data centres, and
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -114,11 +114,11 @@
     },
 };
 
-/// Runs the command that the arguments name.
+/// Parses the command line, runs its subcommand and returns the exit code of the process.
 pub fn run() -> ExitCode {
-    let ended = arguments::run(&arguments::command().get_matches());
+    let result = arguments::run(&arguments::command().get_matches());
     logger::flush();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error}");
