--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -78,7 +78,7 @@
     }
 
     /// Handles the end of the reports on streams that were stored before the start.
-    pub(crate) fn streams_restored(&mut self) {
+    pub(crate) fn handle_streams_restored(&mut self) {
         self.streams_restored = true;
         self.submit_deferred();
     }
@@ -167,13 +167,13 @@
         if !customer.services.is_empty() && !customer.services.contains(&service.name) {
             return Err(Kind::Unauthorized.into());
         }
-        let print = RequestFingerprint::new(&customer.name, submission.fingerprint);
-        if self.is_quarantined(print) {
+        let request_fingerprint = RequestFingerprint::new(&customer.name, submission.fingerprint);
+        if self.is_quarantined(request_fingerprint) {
             return Err(Kind::Quarantined.into());
         }
         self.check_operation(&submission, &service)?;
         self.check_capacity(&customer, &service, &submission)?;
-        let mut request = self.build_request(submission, customer, service, print)?;
+        let mut request = self.build_request(submission, customer, service, request_fingerprint)?;
         self.record_size(&request);
         let checked = self.check_availability(&request);
         let checked = checked.and_then(|()| self.check_feasible(&request));
@@ -188,7 +188,7 @@
         pool.retry_budget.earn(self.settings.retry_earn);
         self.hedge_budget.earn(self.settings.hedge_earn);
         *self
-            .running
+            .running_by_customer
             .entry(request.customer.name.clone())
             .or_default() += 1;
         let caller = request.caller;
@@ -223,7 +223,11 @@
             return self.check_memory(submission.work.bytes());
         }
         let resumed = submission.cursor.is_some();
-        let running = self.running.get(&customer.name).copied().unwrap_or(0);
+        let running = self
+            .running_by_customer
+            .get(&customer.name)
+            .copied()
+            .unwrap_or(0);
         if running >= customer.max_running.div_ceil(self.instances.max(1)) {
             let pool = self.pools.entry(service.pool().into()).or_default();
             let wait = pool.mean_duration_ms as u64 / u64::from(running.max(1));
@@ -361,7 +365,7 @@
             .longest_timeouts
             .entry(service.name.clone())
             .or_default();
-        longest.note(timeout_ms, self.now)
+        longest.record(timeout_ms, self.now)
     }
 
     fn build_request(
@@ -369,7 +373,7 @@
         submission: event::Submission,
         customer: Arc<config::Customer>,
         service: Arc<config::Service>,
-        print: RequestFingerprint,
+        request_fingerprint: RequestFingerprint,
     ) -> Result<Request, Kind> {
         let cursor = match &submission.cursor {
             None => None,
@@ -431,8 +435,8 @@
             held_bytes: 0,
             last_attempt: cursor.map_or(0, |cursor| cursor.attempt),
             may_have_run: cursor.is_some(),
-            print,
             progress,
+            request_fingerprint,
             resume_cursor: cursor,
             send_by: self.now.after(service.max_wait_ms),
             service,
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -299,7 +299,7 @@
     /// is likely by then; else when the shortage is likely to be over. A shortage that has lasted
     /// for some time is likely to last as long again.
     pub(crate) fn retry_after_ms(&mut self, request: &Request) -> u64 {
-        if let Some(backoff_ms) = self.backoff_retry_after(request) {
+        if let Some(backoff_ms) = self.backoff_retry_after_ms(request) {
             return backoff_ms;
         }
         let pool = self.pools.get(request.service.pool());
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     /// Demand of all instances.
-    pub demands: DemandTracker,
+    pub demand: DemandTracker,
     /// Speed of its upstreams, and how long they have had no free capacity.
     pub estimates: PoolEstimates,
     /// Moving average of the time from sending a request to its end, in milliseconds.
@@ -43,7 +43,7 @@
 impl Default for Pool {
     fn default() -> Self {
         Self {
-            demands: DemandTracker::default(),
+            demand: DemandTracker::default(),
             estimates: PoolEstimates::default(),
             mean_duration_ms: INITIAL_DURATION_MS,
             queue: Queue::default(),
@@ -85,8 +85,6 @@
     pub(crate) list_read_at: Option<Time>,
     /// Time until which the list counts as stale, after a pause of this process.
     pub(crate) list_stale_until: Time,
-    /// Upstreams by incarnation; at most one of each name.
-    pub(crate) lives: sighting::UpstreamsByIncarnation,
     /// Timeouts of the callers of each service.
     pub(crate) longest_timeouts: HashMap<String, timeout::LongestTimeout>,
     pub(crate) members: Members,
@@ -94,8 +92,8 @@
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
     pub(crate) requests: SlotMap<request::Key, Request>,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) rotation: usize,
-    pub(crate) running: HashMap<String, u32>,
+    pub(crate) round_robin_index: usize,
+    pub(crate) running_by_customer: HashMap<String, u32>,
     pub(crate) secret: cursor::Secret,
     pub(crate) seed: u64,
     pub(crate) settings: Settings,
@@ -107,10 +105,12 @@
     pub(crate) streams_restored: bool,
     /// Evidence against requests that crash their upstreams.
     pub(crate) crash_suspects: CrashSuspects,
-    pub(crate) swept_at: Time,
+    pub(crate) expiry_checked_at: Time,
     pub(crate) upstreams: SlotMap<upstream::Key, Upstream>,
+    /// Upstreams by incarnation; at most one of each name.
+    pub(crate) upstreams_by_incarnation: sighting::UpstreamsByIncarnation,
     /// When this process last resumed after a pause.
-    pub(crate) woken_at: Time,
+    pub(crate) resumed_at: Time,
 }
 
 impl Core {
@@ -142,8 +142,11 @@
             Event::CallerGone(caller) => self.handle_caller_gone(caller),
             Event::Claimed { outcome, request } => self.handle_claim_outcome(request, outcome),
             Event::Config(config) => self.apply_config(config),
-            Event::CrashChecked { ended, life } => self.apply_crash_check(life, ended),
-            Event::CrashReported(account) => self.merge_crashes(&account),
+            Event::CrashChecked {
+                crashed,
+                incarnation,
+            } => self.apply_crash_check(incarnation, crashed),
+            Event::CrashReported(reported) => self.merge_crashes(&reported),
             Event::Failed { attempt, failure } => self.handle_failure(attempt, failure),
             Event::GenerationFinished {
                 attempt,
@@ -163,10 +166,10 @@
                 upstream,
             } => self.apply_notice(upstream, attempt, &notice),
             Event::PeerDemand { demand, from } => self.record_peer_demand(from, &demand),
-            Event::PeerLeaving(life) => self.apply_peer_leaving(life),
-            Event::PeerLimit { life, rate } => self.apply_peer_limit(life, rate),
-            Event::PeerLoss(life) => self.record_peer_loss(life),
-            Event::PeerPace(pace) => self.record_peer_pace(&pace),
+            Event::PeerLeaving(incarnation) => self.apply_peer_leaving(incarnation),
+            Event::PeerLimit { incarnation, rate } => self.apply_peer_limit(incarnation, rate),
+            Event::PeerLoss(incarnation) => self.record_peer_loss(incarnation),
+            Event::PeerSpeed(speed) => self.record_peer_speed(&speed),
             Event::PeerStream(sighting) => self.record_peer_stream(sighting),
             Event::PiggybackedLoad { attempt, load } => self.apply_piggybacked_load(attempt, load),
             Event::Probed { alive, upstream } => self.apply_probe_result(upstream, alive),
@@ -182,7 +185,7 @@
                 position,
             } => self.handle_stream_event(attempt, position, bytes),
             Event::StreamOpened(attempt) => self.handle_stream_opened(attempt),
-            Event::StreamsRestored => self.streams_restored(),
+            Event::StreamsRestored => self.handle_streams_restored(),
             Event::Submit(submission) => self.submit(*submission),
             Event::Tick => self.tick(),
             Event::Tokens {
@@ -210,15 +213,14 @@
             instances: 1,
             list_read_at: None,
             list_stale_until: Time::default(),
-            lives: BTreeMap::new(),
             longest_timeouts: HashMap::new(),
             members: Members::default(),
             now,
             pools: BTreeMap::new(),
             requests: SlotMap::with_key(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            rotation: 0,
-            running: HashMap::new(),
+            round_robin_index: 0,
+            running_by_customer: HashMap::new(),
             secret,
             seed,
             settings,
@@ -226,9 +228,10 @@
             retained_states: notice::RetainedStates::default(),
             streams_restored: true,
             crash_suspects: CrashSuspects::default(),
-            swept_at: now,
+            expiry_checked_at: now,
             upstreams: SlotMap::with_key(),
-            woken_at: Time::default(),
+            upstreams_by_incarnation: BTreeMap::new(),
+            resumed_at: Time::default(),
         }
     }
 
@@ -296,9 +299,9 @@
         let upstream = upstream.and_then(|key| self.upstreams.get(key));
         Effect::LogRequest(effect::RequestLog {
             customer: request.customer.clone(),
+            fingerprint: request.request_fingerprint,
             generation: request.generation,
             position: request.position(),
-            print: request.print,
             run: request.work.relay().map(|relay| relay.run.clone()),
             service: request.service.clone(),
             upstream: upstream.map(|upstream| upstream.name.clone()),
@@ -313,10 +316,10 @@
         self.check_invariant(unanswered, Invariant::AnsweredTwice);
         self.held_bytes -= request.held_bytes;
         let customer = &request.customer.name;
-        if let Some(running) = self.running.get_mut(customer) {
+        if let Some(running) = self.running_by_customer.get_mut(customer) {
             *running -= 1;
             if *running == 0 {
-                self.running.remove(customer);
+                self.running_by_customer.remove(customer);
             }
         }
         if let Some(pool) = self.pools.get_mut(request.service.pool()) {
--- a/crates/core/src/counter.rs
+++ b/crates/core/src/counter.rs
@@ -35,7 +35,7 @@
     /// Responses with an unparsable backoff time or rate limit.
     NoticeInvalid,
     /// Responses in which the upstream asked for a backoff.
-    NoticeRest,
+    NoticeBackoff,
     /// Responses with an unknown notice from the upstream.
     NoticeUnknown,
     /// Detected pauses of this instance.
@@ -126,7 +126,7 @@
             Self::NoticeInvalid => write!(formatter, "notice.odd"),
             Self::NoticeLeaving => write!(formatter, "notice.leaving"),
             Self::NoticeLimit => write!(formatter, "notice.limit"),
-            Self::NoticeRest => write!(formatter, "notice.rest"),
+            Self::NoticeBackoff => write!(formatter, "notice.rest"),
             Self::NoticeUnknown => write!(formatter, "notice.unknown"),
             Self::Paused => write!(formatter, "paused"),
             Self::PeerLeaving => write!(formatter, "notice.told"),
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -345,7 +345,7 @@
             self.record_upstream_time(&demand.pool, call);
         }
         let pool = self.pools.entry(demand.pool.clone()).or_default();
-        pool.demands.merge_peer(from, demand, self.now);
+        pool.demand.merge_peer(from, demand, self.now);
     }
 
     /// Updates the mean call time of an upstream with a call made here or at another instance.
@@ -356,10 +356,10 @@
         let millis = f64::from(call.duration_ms);
         for key in &pool.upstreams {
             let upstream = &mut self.upstreams[*key];
-            if upstream.life.hash_u64() == call.upstream {
-                let step = (millis - upstream.takes_ms) * UPSTREAM_GAIN;
-                upstream.takes_ms = if upstream.takes_ms > 0.0 {
-                    upstream.takes_ms + step
+            if upstream.incarnation.hash_u64() == call.upstream {
+                let step = (millis - upstream.mean_call_ms) * UPSTREAM_GAIN;
+                upstream.mean_call_ms = if upstream.mean_call_ms > 0.0 {
+                    upstream.mean_call_ms + step
                 } else {
                     millis
                 };
@@ -374,17 +374,17 @@
         &mut self,
         candidates: &[upstream::Key],
     ) -> Option<upstream::Key> {
-        let known = |key: &&upstream::Key| self.upstreams[**key].takes_ms > 0.0;
+        let known = |key: &&upstream::Key| self.upstreams[**key].mean_call_ms > 0.0;
         let known: Vec<f64> = candidates
             .iter()
             .filter(known)
-            .map(|key| self.upstreams[*key].takes_ms)
+            .map(|key| self.upstreams[*key].mean_call_ms)
             .collect();
         let mean = known.iter().sum::<f64>() / (known.len() as f64).max(1.0);
         let weight = |key: &upstream::Key| {
             let upstream = &self.upstreams[*key];
-            let service_time_ms = if upstream.takes_ms > 0.0 {
-                upstream.takes_ms
+            let service_time_ms = if upstream.mean_call_ms > 0.0 {
+                upstream.mean_call_ms
             } else {
                 mean.max(1.0)
             };
@@ -404,13 +404,13 @@
     /// Whether a pool is so loaded that upstreams are chosen by their call times.
     pub(crate) fn is_near_capacity(&self, pool: &str) -> bool {
         let pool = self.pools.get(pool);
-        self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.local_preference() < 1.0)
+        self.settings.calls.demand && pool.is_some_and(|pool| pool.demand.local_preference() < 1.0)
     }
 
     /// Whether the demand for a pool is nearly all that its slots can serve.
     pub(crate) fn is_at_capacity(&self, pool: &str) -> bool {
         let pool = self.pools.get(pool);
-        self.settings.calls.demand && pool.is_some_and(|pool| pool.demands.load >= FULL_UTILIZATION)
+        self.settings.calls.demand && pool.is_some_and(|pool| pool.demand.load >= FULL_UTILIZATION)
     }
 
     /// Admits a new call if it is within the share that the service can serve; refuses it at once
@@ -426,19 +426,19 @@
             .service
             .relay()
             .map_or(0, |relay| relay.objective_ms);
-        let demands = &mut self.pools.entry(name.clone()).or_default().demands;
-        demands.objective_ms = objective_ms as f64;
+        let tracker = &mut self.pools.entry(name.clone()).or_default().demand;
+        tracker.objective_ms = objective_ms as f64;
         if is_retry {
-            demands.retries.add(now);
+            tracker.retries.add(now);
         } else {
-            demands.arrivals.add(now);
+            tracker.arrivals.add(now);
         }
         self.update_demand(&name);
         if self.is_limited(&self.pools[&name]) {
             // Admission is decided by permits, here and at the few other instances that hold any.
             return Ok(());
         }
-        let share = self.pools[&name].demands.admitted;
+        let share = self.pools[&name].demand.admitted;
         let share = if is_retry { share.retry } else { share.new };
         if share >= 1.0 || self.rng.random::<f64>() < share {
             return Ok(());
@@ -451,12 +451,12 @@
     }
 
     /// Sends this instance's demand to other instances.
-    pub(crate) fn broadcast_demand(&mut self) {
+    pub(crate) fn gossip_demand(&mut self) {
         let now = self.now;
-        let due = |pool: &core::Pool| now.since(pool.demands.broadcast_at) >= GOSSIP_INTERVAL_MS;
+        let due = |pool: &core::Pool| now.since(pool.demand.broadcast_at) >= GOSSIP_INTERVAL_MS;
         // An instance without calls reports that too; otherwise it would be assumed to be like the
         // others.
-        let has_demand = |pool: &core::Pool| pool.demands.is_known();
+        let has_demand = |pool: &core::Pool| pool.demand.is_known();
         let due: Vec<Arc<str>> = self
             .pools
             .iter()
@@ -469,23 +469,23 @@
             let Some(pool) = self.pools.get_mut(&name) else {
                 continue;
             };
-            pool.demands.broadcast_at = now;
-            let is_full = pool.demands.load >= FULL_UTILIZATION;
-            let last_call = pool.demands.last_call.take().filter(|_| is_full);
-            pool.demands
+            pool.demand.broadcast_at = now;
+            let is_full = pool.demand.load >= FULL_UTILIZATION;
+            let last_call = pool.demand.last_call.take().filter(|_| is_full);
+            pool.demand
                 .others
                 .retain(|_, peer| now.since(peer.at) < STALE_MS);
             let demand = Demand {
-                arrival_rate: pool.demands.arrivals.per_second(now),
+                arrival_rate: pool.demand.arrivals.per_second(now),
                 last_call,
                 pool: name,
-                retry_rate: pool.demands.retries.per_second(now),
+                retry_rate: pool.demand.retries.per_second(now),
                 running,
-                service_time_ms: pool.demands.service_time_ms,
+                service_time_ms: pool.demand.service_time_ms,
             };
             self.effects.push(Effect::GossipDemand {
                 demand,
-                pressed: is_full,
+                urgent: is_full,
             });
         }
     }
@@ -496,11 +496,11 @@
         let running = self.calls_in_flight(name);
         let (instances, now) = (self.instances, self.now);
         let upstream = self.upstreams.get(attempt.upstream);
-        let upstream = upstream.map_or(0, |upstream| upstream.life.hash_u64());
+        let upstream = upstream.map_or(0, |upstream| upstream.incarnation.hash_u64());
         let Some(pool) = self.pools.get(name) else {
             return;
         };
-        let total = pool.demands.total(running, instances, now);
+        let total = pool.demand.total(running, instances, now);
         let slots = self.slots(pool, total.service_time_ms);
         let Some(pool) = self.pools.get_mut(name) else {
             return;
@@ -511,13 +511,13 @@
             (total.service_time_ms * REJECTED_FACTOR) as u64
         };
         if answered && (total.running < slots || total.service_time_ms == 0.0) {
-            pool.demands.record_service_time(millis);
+            pool.demand.record_service_time(millis);
         }
         let call = FinishedCall {
             duration_ms: millis as u32,
             upstream,
         };
-        pool.demands.last_call = Some(call);
+        pool.demand.last_call = Some(call);
         self.record_upstream_time(name, call);
     }
 
@@ -528,10 +528,10 @@
         let Some(pool) = self.pools.get(name) else {
             return;
         };
-        let total = pool.demands.total(running, instances, now);
+        let total = pool.demand.total(running, instances, now);
         let slots = self.slots(pool, total.service_time_ms);
         if let Some(pool) = self.pools.get_mut(name) {
-            pool.demands
+            pool.demand
                 .update(total, slots, self.settings.calls.wait, now);
         }
     }
@@ -561,7 +561,7 @@
         let Some(pool) = self.pools.get(name) else {
             return 0;
         };
-        let hung = pool.demands.hung_ms();
+        let hung = pool.demand.hung_ms();
         let attempts = self
             .upstreams_of(pool)
             .flat_map(|upstream| &upstream.attempts);
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -60,7 +60,7 @@
                 return;
             };
             let key = waiting.request;
-            if self.is_quarantined(self.requests[key].print) {
+            if self.is_quarantined(self.requests[key].request_fingerprint) {
                 self.refuse_quarantined(key);
                 continue;
             }
@@ -139,7 +139,7 @@
         let allowed = request.service.policy == Policy::Latency
             && request.service.repeatable
             && self.settings.continuation
-            && !self.is_crash_suspect(request.print)
+            && !self.is_crash_suspect(request.request_fingerprint)
             && request.attempts.len() == 1
             && request.last_attempt < self.settings.attempts_max
             && request.skip <= request.position()
@@ -178,7 +178,7 @@
         let found = self
             .upstreams
             .iter()
-            .find(|(_, other)| other.life.id == upstream && other.health != Health::Lost)
+            .find(|(_, other)| other.incarnation.id == upstream && other.health != Health::Lost)
             .map(|(key, _)| key);
         let Some(upstream) = found else {
             return false;
@@ -267,11 +267,11 @@
             Work::Relay(_) => self.relay_outbound(key),
             Work::Call { .. } | Work::Generate { .. } => request.outbound(number, &self.settings),
         };
-        let is_quarantined = self.is_quarantined(request.print);
+        let is_quarantined = self.is_quarantined(request.request_fingerprint);
         let has_permit = self.upstreams[upstream_key].take_permit(self.now);
         self.check_invariant(has_permit, Invariant::NoWorkBeyondLimit);
         self.check_invariant(!is_leaving, Invariant::NoWorkWhenLeaving);
-        self.check_invariant(!is_in_backoff, Invariant::NoWorkWhenResting);
+        self.check_invariant(!is_in_backoff, Invariant::NoWorkInBackoff);
         if !self.check_invariant(!is_quarantined, Invariant::NoQuarantinedWork) {
             self.refuse_quarantined(owner);
             return;
@@ -336,7 +336,7 @@
         let relayed = request.work.relay().is_some();
         let continues = request.may_have_run && !request.service.repeatable && !relayed;
         if request.claim.is_none() && continues {
-            let id = self.upstreams[upstream].life.id;
+            let id = self.upstreams[upstream].incarnation.id;
             request.claim =
                 Claim::continuation(request.generation, request.last_attempt, id, nonce);
         }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -101,8 +101,8 @@
 /// Change in the status of an upstream, as this instance sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatusChange {
-    /// It failed and receives no new requests for a while.
-    Doubted,
+    /// It asked for a period without requests from this instance.
+    BackedOff,
     /// It is no longer listed and runs nothing.
     Gone,
     /// Its version differs from the one in force, so it receives no requests.
@@ -115,16 +115,16 @@
     Lost,
     /// It is listed for the first time.
     New,
+    /// It receives requests again.
+    Recovered,
     /// It is no longer held back because of its version.
     Released,
     /// A different upstream listens at its address.
     Replaced,
-    /// It asked for a period without requests from this instance.
-    Resting,
     /// It restarted under the same name and counts as a new incarnation.
     Restarted,
-    /// It receives requests again.
-    Trusted,
+    /// It failed and receives no new requests for a while.
+    Suspected,
     /// It no longer announces a rate limit.
     Unlimited,
 }
@@ -134,12 +134,12 @@
 pub struct RequestLog {
     /// Customer.
     pub customer: Arc<config::Customer>,
+    /// Fingerprint that all attempts of a caller at the same request share.
+    pub fingerprint: RequestFingerprint,
     /// Identifier of the request.
     pub generation: u128,
     /// Number of tokens delivered, or position of the last event that the caller received.
     pub position: u32,
-    /// Fingerprint that all attempts of a caller at the same request share.
-    pub print: RequestFingerprint,
     /// Name of the run at upstreams; `None` unless the request is relayed.
     pub run: Option<Arc<str>>,
     /// Service.
@@ -154,18 +154,18 @@
     /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Doubted => "doubted",
+            Self::BackedOff => "resting",
             Self::Gone => "gone",
             Self::Held => "held",
             Self::Leaving => "leaving",
             Self::Limited => "limited",
             Self::Lost => "lost",
             Self::New => "new",
+            Self::Recovered => "trusted",
             Self::Released => "released",
             Self::Replaced => "replaced",
-            Self::Resting => "resting",
             Self::Restarted => "restarted",
-            Self::Trusted => "trusted",
+            Self::Suspected => "doubted",
             Self::Unlimited => "unlimited",
         }
     }
@@ -179,7 +179,7 @@
         /// Address that it listens on.
         address: SocketAddr,
         /// Its incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
     },
     /// Broadcast crashes of upstreams to other instances.
     Gossip(CrashHistory),
@@ -189,19 +189,19 @@
     /// all instances.
     Refuse {
         /// The crashes that led to the refusal.
-        ends: CrashHistory,
-        /// Whether this instance observed one of the crashes itself.
-        own: bool,
+        evidence: CrashHistory,
         /// Fingerprint of the request.
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
+        /// Whether this instance observed one of the crashes itself.
+        witnessed: bool,
     },
     /// Log that a request is no longer refused, and delete the persisted refusal: another request
     /// explains the crashes, or they expired.
     Release {
-        /// Whether this instance observed one of the crashes itself, and so persisted the refusal.
-        own: bool,
         /// Fingerprint of the request.
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
+        /// Whether this instance observed one of the crashes itself, and so persisted the refusal.
+        witnessed: bool,
     },
 }
 
@@ -277,26 +277,26 @@
         /// The demand.
         demand: Demand,
         /// Whether the pool is close to its capacity, so that others need the update soon.
-        pressed: bool,
+        urgent: bool,
     },
     /// Broadcast to other instances that an upstream is draining.
     GossipLeaving {
         /// Its incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Its name.
         upstream: Arc<str>,
     },
     /// Broadcast to other instances the rate limit that an upstream sets for all of them together.
     GossipLimit {
         /// Its incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// The limit; `None` if it no longer announces one.
         rate: Option<limit::Rate>,
     },
     /// Broadcast to other instances that an upstream was lost.
     GossipLost(Incarnation),
     /// Broadcast to other instances how fast the engines of a pool are.
-    GossipPace(EngineSpeed),
+    GossipSpeed(EngineSpeed),
     /// Broadcast the state of a relayed stream to other instances.
     GossipStream(Sighting),
     /// Log a step in the life cycle of a request.
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -98,18 +98,18 @@
     pub name: String,
     /// Name of its pool.
     pub pool: String,
-    /// Maximum number of requests that it runs concurrently; 0 if unknown.
-    pub slots: u32,
     /// Position in the order of registration; if two entries have the same address, the later one
     /// is valid. The lowest position if unknown.
-    pub since: Position,
+    pub registered_at: Position,
+    /// Maximum number of requests that it runs concurrently; 0 if unknown.
+    pub slots: u32,
     /// Version of its software; empty if unknown.
     pub version: String,
 }
 
 impl ListEntry {
     /// Incarnation that the entry describes.
-    pub fn life(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         Incarnation::new(&self.name, self.born)
     }
 }
@@ -138,9 +138,9 @@
     /// An upstream whose connections broke was checked for a crash.
     CrashChecked {
         /// Whether nothing listens at its address.
-        ended: bool,
+        crashed: bool,
         /// Its incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
     },
     /// Another instance, or the store, reported crashes of upstreams.
     CrashReported(Box<CrashHistory>),
@@ -199,14 +199,14 @@
     /// Another instance reported the rate limit of an upstream.
     PeerLimit {
         /// Incarnation of the upstream.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Limit for all instances together; `None` if the upstream no longer announces one.
         rate: Option<limit::Rate>,
     },
     /// Another instance lost an upstream.
     PeerLoss(Incarnation),
     /// Another instance reported how fast the engines of a pool are.
-    PeerPace(EngineSpeed),
+    PeerSpeed(EngineSpeed),
     /// Another instance reported the state of a stream that it relays.
     PeerStream(Sighting),
     /// A load report arrived with the tokens of a stream, and is as old as they are.
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -134,7 +134,7 @@
         let retry_after_ms = kind.answer().retry.then(|| match request.work {
             Work::Relay(_) => self.retry_after_ms(&request),
             Work::Call { .. } | Work::Generate { .. } => {
-                let rest = self.backoff_retry_after(&request);
+                let rest = self.backoff_retry_after_ms(&request);
                 rest.unwrap_or_else(|| {
                     self.queue_retry_after_ms(pool, request.service.priority, &request.customer)
                 })
@@ -157,7 +157,7 @@
         if !request.attempts.is_empty() || request.state == State::Claiming {
             return;
         }
-        if self.is_quarantined(request.print) {
+        if self.is_quarantined(request.request_fingerprint) {
             self.refuse_quarantined(key);
             return;
         }
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -18,7 +18,7 @@
     /// An upstream that is leaving was given new work.
     NoWorkWhenLeaving,
     /// An upstream that asked for a backoff was given new work.
-    NoWorkWhenResting,
+    NoWorkInBackoff,
     /// A request that was refused as not run had been sent.
     NotRunIsTrue,
     /// A non-repeatable request was about to be sent although it may have run.
@@ -36,7 +36,7 @@
             Self::NoQuarantinedWork => "no_quarantined_work",
             Self::NoWorkBeyondLimit => "no_work_beyond_limit",
             Self::NoWorkWhenLeaving => "no_work_when_leaving",
-            Self::NoWorkWhenResting => "no_work_when_resting",
+            Self::NoWorkInBackoff => "no_work_when_resting",
             Self::NotRunIsTrue => "not_run_is_true",
             Self::RunsOnce => "runs_once",
             Self::SameGeneration => "same_generation",
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -185,7 +185,7 @@
     /// Applies a limit that the upstream announced to this instance, and tells the peers.
     fn apply_own_limit(&mut self, key: upstream::Key, rate: Rate) {
         let is_changed = self.set_limit(key, rate);
-        let (now, life) = (self.now, self.upstreams[key].life);
+        let (now, incarnation) = (self.now, self.upstreams[key].incarnation);
         let Some(bucket) = &mut self.upstreams[key].limit_bucket else {
             return;
         };
@@ -193,7 +193,7 @@
         if is_changed || now.since(bucket.announced_at) >= ANNOUNCE_MS {
             bucket.announced_at = now;
             let rate = Some(rate);
-            self.effects.push(Effect::GossipLimit { life, rate });
+            self.effects.push(Effect::GossipLimit { incarnation, rate });
         }
     }
 
@@ -208,13 +208,16 @@
             return;
         }
         self.clear_limit(key);
-        let life = self.upstreams[key].life;
-        self.effects.push(Effect::GossipLimit { life, rate: None });
+        let incarnation = self.upstreams[key].incarnation;
+        self.effects.push(Effect::GossipLimit {
+            incarnation,
+            rate: None,
+        });
     }
 
     /// Applies a limit that a peer received from an upstream; `None` if the upstream no longer announces one.
-    pub(crate) fn apply_peer_limit(&mut self, life: Incarnation, rate: Option<Rate>) {
-        let Some(key) = self.lives.get(&life).copied() else {
+    pub(crate) fn apply_peer_limit(&mut self, incarnation: Incarnation, rate: Option<Rate>) {
+        let Some(key) = self.upstreams_by_incarnation.get(&incarnation).copied() else {
             return;
         };
         self.count(Counter::PeerLimit);
@@ -243,14 +246,14 @@
         bucket.probe_due = now.after(UNCONFIRMED_MS + jitter);
         if is_changed {
             self.update_share(key, rate);
-            self.log_belief(key, effect::StatusChange::Limited);
+            self.log_status_change(key, effect::StatusChange::Limited);
         }
         is_changed
     }
 
     /// Recomputes this instance's share of a limit.
     pub(crate) fn update_share(&mut self, key: upstream::Key, rate: Rate) {
-        let topic = self.upstreams[key].life.hash_u64();
+        let topic = self.upstreams[key].incarnation.hash_u64();
         let holders = self.settings.limits.holders(rate, self.instances);
         let from = self.members.active_from(holders, topic);
         let now = self.now;
@@ -261,7 +264,7 @@
 
     fn clear_limit(&mut self, key: upstream::Key) {
         if self.upstreams[key].limit_bucket.take().is_some() {
-            self.log_belief(key, effect::StatusChange::Unlimited);
+            self.log_status_change(key, effect::StatusChange::Unlimited);
             let pool = self.upstreams[key].pool.clone();
             self.dispatch_queued(&pool);
         }
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -112,13 +112,13 @@
             let oldest = *oldest.0;
             self.0.remove(&oldest);
         }
-        let key = (upstream.life, upstream.address);
+        let key = (upstream.incarnation, upstream.address);
         self.0.insert(key, Retained { at: now, state });
     }
 
     /// Removes and returns the state that an incarnation announced at an address before its entry was removed.
-    pub fn take(&mut self, life: Incarnation, address: SocketAddr) -> DeclaredState {
-        let retained = self.0.remove(&(life, address));
+    pub fn take(&mut self, incarnation: Incarnation, address: SocketAddr) -> DeclaredState {
+        let retained = self.0.remove(&(incarnation, address));
         retained.map_or_else(DeclaredState::default, |retained| retained.state)
     }
 }
@@ -162,7 +162,7 @@
     /// Starts or extends a back-off; a shorter one does not end an earlier one. Without it, an upstream that refused requests
     /// got more a quarter of a second later.
     fn back_off(&mut self, key: upstream::Key, millis: u64) {
-        self.count(Counter::NoticeRest);
+        self.count(Counter::NoticeBackoff);
         let millis = millis.min(MAX_BACKOFF_MS);
         let jitter = self.rng.random_range(0..=millis / JITTER_DIVISOR);
         let until = self.now.after(millis + jitter);
@@ -170,15 +170,15 @@
         let state = &mut self.upstreams[key].declared;
         state.backoff_until = state.backoff_until.max(until);
         if !was_in_backoff && millis > 0 {
-            self.log_belief(key, effect::StatusChange::Resting);
+            self.log_status_change(key, effect::StatusChange::BackedOff);
         }
         self.refuse_bound_to_expire(key);
     }
 
     /// Applies a peer's report that an upstream is leaving. It may be outdated, so it expires, unlike the upstream's own
     /// announcement to this instance.
-    pub(crate) fn apply_peer_leaving(&mut self, life: Incarnation) {
-        let Some(key) = self.lives.get(&life).copied() else {
+    pub(crate) fn apply_peer_leaving(&mut self, incarnation: Incarnation) {
+        let Some(key) = self.upstreams_by_incarnation.get(&incarnation).copied() else {
             return;
         };
         self.count(Counter::PeerLeaving);
@@ -205,7 +205,7 @@
 
     /// Retry delay for a caller whose request finds all upstreams in back-off, in milliseconds: until the first back-off ends,
     /// even if the caller would wait less. `None` if any upstream is not in back-off.
-    pub(crate) fn backoff_retry_after(&mut self, request: &Request) -> Option<u64> {
+    pub(crate) fn backoff_retry_after_ms(&mut self, request: &Request) -> Option<u64> {
         let end = self.backoff_end(request)?;
         let remaining = end.since(self.now).max(capacity::MIN_RETRY_AFTER_MS);
         Some(
@@ -227,7 +227,7 @@
     /// that were queued up to the target time itself were all late.
     fn latest_start(&self, request: &Request) -> Time {
         let pool = self.pools.get(request.service.pool());
-        let duration_ms = pool.map_or(0.0, |pool| pool.demands.service_time_ms());
+        let duration_ms = pool.map_or(0.0, |pool| pool.demand.service_time_ms());
         let latest = request.first_event_due.0.saturating_sub(duration_ms as u64);
         request.send_by.max(Time(latest))
     }
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -168,7 +168,7 @@
         let mut cost = upstream.failure_score.level(self.now) * place.trouble;
         cost += f64::from(usage.prefilling) * place.reading;
         cost += f64::from(usage.running) * place.running;
-        cost += self.suspects_at(request.print, candidate) as f64 * place.suspect;
+        cost += self.suspects_at(request.request_fingerprint, candidate) as f64 * place.suspect;
         if upstream.data_centre != self.data_centre {
             cost += place.far * self.distance_weight(request.service.pool());
         }
@@ -187,7 +187,7 @@
     /// Weight of the distance to another data centre: 1, or less for a plain service near its capacity.
     fn distance_weight(&self, pool: &str) -> f64 {
         let pool = self.pools.get(pool);
-        pool.map_or(1.0, |pool| pool.demands.local_preference())
+        pool.map_or(1.0, |pool| pool.demand.local_preference())
     }
 
     /// Recent losses of a pool's upstreams by data centre.
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -58,64 +58,68 @@
     /// Records that a request was at an upstream that crashed. Returns whether that is new.
     pub fn record(
         &mut self,
-        life: Incarnation,
-        print: RequestFingerprint,
+        incarnation: Incarnation,
+        fingerprint: RequestFingerprint,
         involvement: Involvement,
         at: Time,
     ) -> bool {
-        let crash = self.crashes.entry(life).or_insert_with(|| Crash {
+        let crash = self.crashes.entry(incarnation).or_insert_with(|| Crash {
             at,
             requests: BTreeMap::new(),
         });
         crash.at = crash.at.min(at);
-        if crash.requests.len() >= MAX_REQUESTS_PER_CRASH && !crash.requests.contains_key(&print) {
+        if crash.requests.len() >= MAX_REQUESTS_PER_CRASH
+            && !crash.requests.contains_key(&fingerprint)
+        {
             return false;
         }
-        let known = crash.requests.insert(print, involvement);
+        let known = crash.requests.insert(fingerprint, involvement);
         let before = known.filter(|before| *before >= involvement);
         if let Some(before) = before {
-            crash.requests.insert(print, before);
+            crash.requests.insert(fingerprint, before);
         }
         before.is_none()
     }
 
     /// Clears a request of all crashes so far. Returns the changes to announce.
     #[must_use]
-    pub fn clear(&mut self, print: RequestFingerprint) -> Self {
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> Self {
         let mut cleared = Self::default();
-        for (life, crash) in &mut self.crashes {
-            if let Some(involvement) = crash.requests.get_mut(&print)
+        for (incarnation, crash) in &mut self.crashes {
+            if let Some(involvement) = crash.requests.get_mut(&fingerprint)
                 && *involvement != Involvement::Cleared
             {
                 *involvement = Involvement::Cleared;
-                cleared.record(*life, print, Involvement::Cleared, crash.at);
+                cleared.record(*incarnation, fingerprint, Involvement::Cleared, crash.at);
             }
         }
         cleared
     }
 
     /// Crashes at which a request was present and of which it has not been cleared.
-    pub fn crashes_of(&self, print: RequestFingerprint) -> impl Iterator<Item = Incarnation> {
+    pub fn crashes_of(&self, fingerprint: RequestFingerprint) -> impl Iterator<Item = Incarnation> {
         let is_suspect = move |crash: &Crash| {
             crash
                 .requests
-                .get(&print)
+                .get(&fingerprint)
                 .is_some_and(|involvement| *involvement != Involvement::Cleared)
         };
         let crashes = self.crashes.iter();
         crashes
             .filter(move |(_, crash)| is_suspect(crash))
-            .map(|(life, _)| *life)
+            .map(|(incarnation, _)| *incarnation)
     }
 
     /// Crashes in the order of their incarnations.
     pub fn crashes(&self) -> impl Iterator<Item = (Incarnation, &Crash)> {
-        self.crashes.iter().map(|(life, crash)| (*life, crash))
+        self.crashes
+            .iter()
+            .map(|(incarnation, crash)| (*incarnation, crash))
     }
 
     /// Whether the crash of an incarnation is recorded.
-    pub fn contains(&self, life: Incarnation) -> bool {
-        self.crashes.contains_key(&life)
+    pub fn contains(&self, incarnation: Incarnation) -> bool {
+        self.crashes.contains_key(&incarnation)
     }
 
     /// Whether no crash is recorded.
@@ -131,10 +135,10 @@
     /// A digest of the content that does not depend on the order in which it was received; 0 for an
     /// empty history.
     pub fn digest(&self) -> u64 {
-        let parts = self.crashes.iter().flat_map(|(life, crash)| {
+        let parts = self.crashes.iter().flat_map(|(incarnation, crash)| {
             let requests = crash.requests.iter();
-            requests.map(|(print, involvement)| {
-                mix(life.hash_u64() ^ mix(print.0 ^ (*involvement as u64 + 1)))
+            requests.map(|(fingerprint, involvement)| {
+                mix(incarnation.hash_u64() ^ mix(fingerprint.0 ^ (*involvement as u64 + 1)))
             })
         });
         parts.fold(0, |digest, part| digest ^ part)
@@ -144,10 +148,10 @@
     #[must_use]
     pub fn merge(&mut self, other: &Self) -> Self {
         let mut news = Self::default();
-        for (life, crash) in &other.crashes {
-            for (print, involvement) in &crash.requests {
-                if self.record(*life, *print, *involvement, crash.at) {
-                    news.record(*life, *print, *involvement, crash.at);
+        for (incarnation, crash) in &other.crashes {
+            for (fingerprint, involvement) in &crash.requests {
+                if self.record(*incarnation, *fingerprint, *involvement, crash.at) {
+                    news.record(*incarnation, *fingerprint, *involvement, crash.at);
                 }
             }
         }
@@ -156,11 +160,16 @@
 
     /// The subset of the history that counts against one request.
     #[must_use]
-    pub fn evidence_for(&self, print: RequestFingerprint) -> Self {
+    pub fn evidence_for(&self, fingerprint: RequestFingerprint) -> Self {
         let mut evidence = Self::default();
-        for life in self.crashes_of(print) {
-            let crash = &self.crashes[&life];
-            evidence.record(life, print, crash.requests[&print], crash.at);
+        for incarnation in self.crashes_of(fingerprint) {
+            let crash = &self.crashes[&incarnation];
+            evidence.record(
+                incarnation,
+                fingerprint,
+                crash.requests[&fingerprint],
+                crash.at,
+            );
         }
         evidence
     }
@@ -184,13 +193,15 @@
             crash
                 .requests
                 .keys()
-                .any(|print| quarantined.contains_key(print))
+                .any(|fingerprint| quarantined.contains_key(fingerprint))
+        };
+        let order = |(incarnation, crash): (&Incarnation, &Crash)| {
+            (is_evidence(crash), crash.at, *incarnation)
         };
-        let order = |(life, crash): (&Incarnation, &Crash)| (is_evidence(crash), crash.at, *life);
         let mut crashes: Vec<(bool, Time, Incarnation)> = self.crashes.iter().map(order).collect();
         crashes.sort_unstable();
-        for (_, _, life) in &crashes[..crashes.len() - MAX_CRASHES] {
-            self.crashes.remove(life);
+        for (_, _, incarnation) in &crashes[..crashes.len() - MAX_CRASHES] {
+            self.crashes.remove(incarnation);
         }
     }
 
@@ -211,23 +222,23 @@
     fn by_unexplained_crashes(&self) -> BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> {
         let mut evaluation = Evaluation::default();
         let mut crashes: Vec<(Incarnation, &Crash)> = self.crashes().collect();
-        crashes.sort_unstable_by_key(|(life, crash)| (crash.at, *life));
-        for (life, crash) in crashes {
-            evaluation.observe(life, crash);
+        crashes.sort_unstable_by_key(|(incarnation, crash)| (crash.at, *incarnation));
+        for (incarnation, crash) in crashes {
+            evaluation.observe(incarnation, crash);
         }
         evaluation.quarantined
     }
 
     /// Evaluates only the number of crashes of each request.
     fn by_crash_count(&self) -> BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> {
-        let mut lives: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> = BTreeMap::new();
-        for (life, crash) in &self.crashes {
-            for (print, _) in crash.suspects() {
-                lives.entry(print).or_default().insert(*life);
+        let mut crashes: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> = BTreeMap::new();
+        for (incarnation, crash) in &self.crashes {
+            for (fingerprint, _) in crash.suspects() {
+                crashes.entry(fingerprint).or_default().insert(*incarnation);
             }
         }
-        lives.retain(|_, lives| lives.len() >= QUARANTINE_THRESHOLD);
-        lives
+        crashes.retain(|_, crashes| crashes.len() >= QUARANTINE_THRESHOLD);
+        crashes
     }
 }
 
@@ -237,7 +248,7 @@
         let requests = self
             .requests
             .iter()
-            .map(|(print, involvement)| (*print, *involvement));
+            .map(|(fingerprint, involvement)| (*fingerprint, *involvement));
         requests.filter(|(_, involvement)| *involvement != Involvement::Cleared)
     }
 }
@@ -261,24 +272,25 @@
 }
 
 impl Evaluation {
-    fn observe(&mut self, life: Incarnation, crash: &Crash) {
-        let is_quarantined =
-            |(print, _): (RequestFingerprint, Involvement)| self.quarantined.contains_key(&print);
+    fn observe(&mut self, incarnation: Incarnation, crash: &Crash) {
+        let is_quarantined = |(fingerprint, _): (RequestFingerprint, Involvement)| {
+            self.quarantined.contains_key(&fingerprint)
+        };
         let explained = crash.suspects().any(is_quarantined);
-        for (print, involvement) in crash.suspects() {
-            if let Some(lives) = self.quarantined.get_mut(&print) {
-                lives.insert(life);
+        for (fingerprint, involvement) in crash.suspects() {
+            if let Some(crashes) = self.quarantined.get_mut(&fingerprint) {
+                crashes.insert(incarnation);
                 continue;
             }
-            let suspect = self.suspects.entry(print).or_default();
+            let suspect = self.suspects.entry(fingerprint).or_default();
             suspect.fresh += usize::from(involvement == Involvement::Fresh);
-            suspect.crashes.insert(life);
+            suspect.crashes.insert(incarnation);
             if !explained {
-                suspect.unexplained.insert(life);
+                suspect.unexplained.insert(incarnation);
             }
         }
-        while let Some((print, suspect)) = self.strongest_suspect() {
-            self.quarantine(print, &suspect);
+        while let Some((fingerprint, suspect)) = self.strongest_suspect() {
+            self.quarantine(fingerprint, &suspect);
         }
     }
 
@@ -295,23 +307,23 @@
             .filter(|(_, suspect)| over_threshold(suspect));
         let strongest =
             over_threshold.max_by_key(|(_, suspect)| (suspect.unexplained.len(), suspect.fresh));
-        strongest.map(|(print, suspect)| (*print, suspect.clone()))
+        strongest.map(|(fingerprint, suspect)| (*fingerprint, suspect.clone()))
     }
 
     /// Quarantines a request, and those that cannot be distinguished from it by their crashes.
-    fn quarantine(&mut self, print: RequestFingerprint, suspect: &Suspect) {
+    fn quarantine(&mut self, fingerprint: RequestFingerprint, suspect: &Suspect) {
         let is_indistinguishable = |other: &RequestFingerprint, other_suspect: &mut Suspect| {
             let same = other_suspect.unexplained == suspect.unexplained
                 && other_suspect.fresh == suspect.fresh;
-            *other == print || (same && suspect.unexplained.len() >= QUARANTINE_THRESHOLD)
+            *other == fingerprint || (same && suspect.unexplained.len() >= QUARANTINE_THRESHOLD)
         };
         let alike = self.suspects.extract_if(.., is_indistinguishable);
         self.quarantined
-            .extend(alike.map(|(print, suspect)| (print, suspect.crashes)));
+            .extend(alike.map(|(fingerprint, suspect)| (fingerprint, suspect.crashes)));
         for other in self.suspects.values_mut() {
             other
                 .unexplained
-                .retain(|life| !suspect.unexplained.contains(life));
+                .retain(|incarnation| !suspect.unexplained.contains(incarnation));
         }
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -169,25 +169,26 @@
         let Some(pool) = self.pools.get_mut(&name).filter(|_| is_full_prefill) else {
             return;
         };
-        let pace = pool
+        let speed = pool
             .estimates
             .record_prefill(name, attempt.ahead_tokens, duration, self.now);
-        if let Some(pace) = pace.filter(|_| self.settings.shared.paces) {
-            self.effects.push(Effect::GossipPace(pace));
+        if let Some(speed) = speed.filter(|_| self.settings.shared.paces) {
+            self.effects.push(Effect::GossipSpeed(speed));
         }
     }
 
     /// Records the speed of a pool's engines as reported by another instance.
-    pub(crate) fn record_peer_pace(&mut self, pace: &EngineSpeed) {
-        let pool = self.pools.entry(pace.pool.clone()).or_default();
-        pool.estimates.merge_peer_sample(pace);
+    pub(crate) fn record_peer_speed(&mut self, speed: &EngineSpeed) {
+        let pool = self.pools.entry(speed.pool.clone()).or_default();
+        pool.estimates.merge_peer_sample(speed);
     }
 
     /// Records the state of a stream as reported by another instance.
     pub(crate) fn record_peer_stream(&mut self, sighting: Sighting) {
         let starts = sighting.stage == sighting::Stage::Started;
         let upstream = sighting.upstream;
-        let upstream = upstream.and_then(|life| self.lives.get(&life).copied());
+        let upstream = upstream
+            .and_then(|incarnation| self.upstreams_by_incarnation.get(&incarnation).copied());
         let mut prefill_ms = sighting::DEFAULT_PREFILL_MS;
         if let Some(upstream) = upstream.filter(|_| starts) {
             let ahead = self.sightings.usage(upstream).prefill_tokens;
@@ -198,9 +199,9 @@
                 prefill_ms = millis;
             }
         }
-        let lives = &self.lives;
+        let upstreams = &self.upstreams_by_incarnation;
         self.sightings
-            .add(sighting, false, prefill_ms, lives, self.now);
+            .add(sighting, false, prefill_ms, upstreams, self.now);
     }
 
     /// Initial progress of a relayed request. A request that resumes a stream starts after the last
@@ -215,7 +216,9 @@
             return progress;
         }
         if let Some(sighting) = self.sightings.get(relay.prompt) {
-            let find = |life: Option<Incarnation>| self.lives.get(&life?).copied();
+            let find = |incarnation: Option<Incarnation>| {
+                self.upstreams_by_incarnation.get(&incarnation?).copied()
+            };
             progress.preferred_upstream = find(sighting.upstream);
             progress.copy = find(sighting.backup).map(|upstream| request::KvCopy {
                 run: sighting.run.as_str().into(),
@@ -315,7 +318,7 @@
 
     /// Retries or resumes a relayed request after its last attempt ended, if that is permitted.
     pub(crate) fn retry_relay(&mut self, key: request::Key, reason: counter::Reason) {
-        if self.is_quarantined(self.requests[key].print) {
+        if self.is_quarantined(self.requests[key].request_fingerprint) {
             self.refuse_quarantined(key);
             return;
         }
@@ -440,14 +443,14 @@
     fn report_loss(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         upstream.failure_score.record(self.now);
-        self.effects.push(Effect::GossipLost(upstream.life));
+        self.effects.push(Effect::GossipLost(upstream.incarnation));
         self.mark_suspected(key);
     }
 
     /// Records the loss of an upstream as reported by another instance. The cause may be that
     /// instance's own network link, so the report counts as a single failure.
-    pub(crate) fn record_peer_loss(&mut self, life: Incarnation) {
-        if let Some(key) = self.lives.get(&life) {
+    pub(crate) fn record_peer_loss(&mut self, incarnation: Incarnation) {
+        if let Some(key) = self.upstreams_by_incarnation.get(&incarnation) {
             self.upstreams[*key].failure_score.record(self.now);
         }
     }
@@ -455,9 +458,10 @@
     /// Announces a stream that is being sent or has begun to other instances.
     fn gossip_attempt(&mut self, key: attempt::Key, stage: sighting::Stage) {
         let attempt = &self.attempts[key];
-        let life = |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.life);
-        let backup = attempt.backup.and_then(life);
-        let upstream = life(attempt.upstream);
+        let incarnation =
+            |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.incarnation);
+        let backup = attempt.backup.and_then(incarnation);
+        let upstream = incarnation(attempt.upstream);
         if let Some(relay) = self.requests[attempt.request].work.relay() {
             let sighting = relay.sighting(stage, upstream, backup);
             self.gossip(sighting);
@@ -486,8 +490,13 @@
         if sighting.prompt == 0 {
             return;
         }
-        self.sightings
-            .add(sighting.clone(), true, 0, &self.lives, self.now);
+        self.sightings.add(
+            sighting.clone(),
+            true,
+            0,
+            &self.upstreams_by_incarnation,
+            self.now,
+        );
         self.effects.push(Effect::GossipStream(sighting));
     }
 
@@ -505,7 +514,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.clear_suspicion(request.print);
+        self.clear_suspicion(request.request_fingerprint);
         if !request.progress.is_open {
             let wait = self.now.since(request.arrived_at);
             self.effects.push(Effect::Observe(Timing::Answer, wait));
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -206,10 +206,10 @@
     pub last_attempt: u32,
     /// Whether an upstream may have run it.
     pub may_have_run: bool,
-    /// Fingerprint that all attempts of a caller at the same request share.
-    pub print: RequestFingerprint,
     /// Progress of a relayed response.
     pub progress: RelayProgress,
+    /// Fingerprint that all attempts of a caller at the same request share.
+    pub request_fingerprint: RequestFingerprint,
     /// Cursor to re-attach with; `None` after the attempt to do so.
     pub resume_cursor: Option<Cursor>,
     /// Time by which it must have been sent.
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -325,12 +325,12 @@
         match &change.entry {
             Entry::Deleted => self.mark_missing(&change.name, now),
             Entry::Listed(listed) => {
-                let former = self.entries.get(&change.name).map(ListEntry::life);
-                if let Some(former) = former.filter(|former| *former != listed.life()) {
+                let former = self.entries.get(&change.name).map(ListEntry::incarnation);
+                if let Some(former) = former.filter(|former| *former != listed.incarnation()) {
                     self.record_departure(former, false, now);
                 }
                 if listed.leaving {
-                    self.record_departure(listed.life(), true, now);
+                    self.record_departure(listed.incarnation(), true, now);
                 }
                 self.missing.remove(&change.name);
                 self.overwritten.remove(&change.name);
@@ -341,7 +341,8 @@
                 self.missing.remove(&change.name);
                 self.positions.remove(&change.name);
                 if let Some(listed) = self.entries.remove(&change.name) {
-                    self.overwritten.insert(change.name.clone(), listed.life());
+                    self.overwritten
+                        .insert(change.name.clone(), listed.incarnation());
                 }
             }
         }
@@ -354,7 +355,7 @@
         let Entry::Listed(listed) = &mut change.entry else {
             return change;
         };
-        let known = self.entries.get(&change.name).map(ListEntry::life);
+        let known = self.entries.get(&change.name).map(ListEntry::incarnation);
         let written_at = self
             .positions
             .get(&change.name)
@@ -362,7 +363,7 @@
             .unwrap_or_default();
         let is_restored =
             written_at.era < change.position.era && change.position.revision < written_at.revision;
-        if is_restored && known.is_some_and(|known| known != listed.life()) {
+        if is_restored && known.is_some_and(|known| known != listed.incarnation()) {
             // An earlier incarnation, from before the known one began.
             change.entry = Entry::Deleted;
             return change;
@@ -370,7 +371,7 @@
         let before = |departure: &&Departure| {
             departure.to.era < change.position.era && now.since(departure.at) < DEPARTURE_MEMORY_MS
         };
-        let Some(departure) = self.departures.get(&listed.life()).filter(before) else {
+        let Some(departure) = self.departures.get(&listed.incarnation()).filter(before) else {
             return change;
         };
         if departure.leaving {
@@ -407,7 +408,7 @@
     fn remove_entry(&mut self, name: &str, now: Time) {
         self.positions.remove(name);
         if let Some(listed) = self.entries.remove(name) {
-            self.record_departure(listed.life(), false, now);
+            self.record_departure(listed.incarnation(), false, now);
         }
     }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -39,8 +39,8 @@
             Routing::LeastReported => self.least_reported_load(&candidates),
             Routing::Random => Some(self.pick_random(&candidates)),
             Routing::RoundRobin => {
-                self.rotation += 1;
-                Some(candidates[self.rotation % candidates.len()])
+                self.round_robin_index += 1;
+                Some(candidates[self.round_robin_index % candidates.len()])
             }
             Routing::Prefix | Routing::TwoChoices => Some(self.less_loaded_of_two(&candidates)),
         }
@@ -75,7 +75,9 @@
             return None;
         };
         let mut ranked = self.usable(key);
-        ranked.sort_unstable_by_key(|key| rendezvous_rank(prefix, self.upstreams[*key].life.id));
+        ranked.sort_unstable_by_key(|key| {
+            rendezvous_rank(prefix, self.upstreams[*key].incarnation.id)
+        });
         ranked
             .into_iter()
             .take(PREFIX_UPSTREAMS)
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/sighting.rs
@@ -124,7 +124,7 @@
         sighting: Sighting,
         is_own: bool,
         prefill_ms: u64,
-        lives: &UpstreamsByIncarnation,
+        upstreams: &UpstreamsByIncarnation,
         now: Time,
     ) {
         match sighting.stage {
@@ -142,7 +142,7 @@
                     self.remove_older(now);
                 }
                 let prompt = sighting.prompt;
-                let find = |life: Option<Incarnation>| lives.get(&life?).copied();
+                let find = |incarnation: Option<Incarnation>| upstreams.get(&incarnation?).copied();
                 self.remove(prompt);
                 let entry = Entry {
                     at: now,
@@ -176,18 +176,20 @@
     }
 
     /// Links existing records to an upstream that has become known.
-    pub fn resolve(&mut self, life: Incarnation, key: upstream::Key, now: Time) {
-        let life = Some(life);
+    pub fn resolve(&mut self, incarnation: Incarnation, key: upstream::Key, now: Time) {
+        let incarnation = Some(incarnation);
         let affected: Vec<u64> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.sighting.upstream == life || entry.sighting.backup == life)
+            .filter(|(_, entry)| {
+                entry.sighting.upstream == incarnation || entry.sighting.backup == incarnation
+            })
             .map(|(prompt, _)| *prompt)
             .collect();
         for prompt in affected {
             self.release(prompt);
             if let Some(entry) = self.entries.get_mut(&prompt) {
-                if entry.sighting.upstream == life {
+                if entry.sighting.upstream == incarnation {
                     entry.upstream = Some(key);
                 } else {
                     entry.backup = Some(key);
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -52,7 +52,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.clear_suspicion(request.print);
+        self.clear_suspicion(request.request_fingerprint);
         self.log_step(&request, effect::Step::Answered, Some(attempt_upstream));
         self.effects.push(Effect::Finish {
             caller: request.caller,
@@ -78,7 +78,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.clear_suspicion(request.print);
+        self.clear_suspicion(request.request_fingerprint);
         self.log_step(&request, effect::Step::Answered, Some(attempt.upstream));
         self.effects.push(Effect::Reply {
             body,
@@ -101,7 +101,7 @@
             return;
         };
         let (owner, number) = (attempt.request, attempt.number);
-        let upstream = self.upstreams[attempt.upstream].life.id;
+        let upstream = self.upstreams[attempt.upstream].incarnation.id;
         let request = &self.requests[owner];
         let next = request.position();
         let repeated = tokens.len().min(next.saturating_sub(position) as usize);
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -34,7 +34,7 @@
 /// Request whose retry waits for the check whether its last upstream crashed.
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    life: Incarnation,
+    incarnation: Incarnation,
     reason: counter::Reason,
     request: request::Key,
     until: Time,
@@ -43,7 +43,7 @@
 /// What this instance knows of requests that crash their upstreams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashSuspects {
-    account: CrashHistory,
+    history: CrashHistory,
     held: Vec<Held>,
     pending: HashMap<Incarnation, Pending>,
     quarantined: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>>,
@@ -53,8 +53,10 @@
 
 impl CrashSuspects {
     /// Whether this instance observed any of the crashes itself.
-    fn has_witnessed(&self, lives: &BTreeSet<Incarnation>) -> bool {
-        lives.iter().any(|life| self.witnessed.contains(life))
+    fn has_witnessed(&self, crashes: &BTreeSet<Incarnation>) -> bool {
+        crashes
+            .iter()
+            .any(|incarnation| self.witnessed.contains(incarnation))
     }
 
     /// Quarantined requests for which this instance observed at least one of the crashes.
@@ -62,37 +64,37 @@
         let own = self
             .quarantined
             .iter()
-            .filter(|(_, lives)| self.has_witnessed(lives));
-        own.map(|(print, _)| *print).collect()
+            .filter(|(_, crashes)| self.has_witnessed(crashes));
+        own.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
     /// Whether a request was involved in a crash, confirmed or pending.
-    fn is_suspect(&self, print: RequestFingerprint) -> bool {
-        self.crash_count(print) > 0
+    fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
+        self.crash_count(fingerprint) > 0
     }
 
     /// Crashes in which a request was involved, including pending ones.
-    fn crash_count(&self, print: RequestFingerprint) -> usize {
+    fn crash_count(&self, fingerprint: RequestFingerprint) -> usize {
         let pending = self.pending.values().filter(|pending| !pending.answered);
-        let pending = pending.filter(|pending| pending.requests.contains_key(&print));
-        self.account.crashes_of(print).count() + pending.count()
+        let pending = pending.filter(|pending| pending.requests.contains_key(&fingerprint));
+        self.history.crashes_of(fingerprint).count() + pending.count()
     }
 
     /// Whether there are neither recorded crashes nor pending checks.
     fn is_idle(&self) -> bool {
-        self.account.is_empty() && self.pending.is_empty()
+        self.history.is_empty() && self.pending.is_empty()
     }
 }
 
 impl Core {
     /// Whether a request is refused because it crashes its upstreams.
-    pub(crate) fn is_quarantined(&self, print: RequestFingerprint) -> bool {
-        self.crash_suspects.quarantined.contains_key(&print)
+    pub(crate) fn is_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
+        self.crash_suspects.quarantined.contains_key(&fingerprint)
     }
 
     /// Whether a request was at an upstream that crashed, or may have.
-    pub(crate) fn is_crash_suspect(&self, print: RequestFingerprint) -> bool {
-        !self.crash_suspects.is_idle() && self.crash_suspects.is_suspect(print)
+    pub(crate) fn is_crash_suspect(&self, fingerprint: RequestFingerprint) -> bool {
+        !self.crash_suspects.is_idle() && self.crash_suspects.is_suspect(fingerprint)
     }
 
     /// Requests that are refused at present.
@@ -101,8 +103,8 @@
     }
 
     /// Unplanned ends of upstreams that this instance knows of.
-    pub fn account(&self) -> &CrashHistory {
-        &self.crash_suspects.account
+    pub fn crash_history(&self) -> &CrashHistory {
+        &self.crash_suspects.history
     }
 
     /// Handles a broken connection, which may mean that the upstream crashed. The end of an upstream that is shutting down
@@ -112,8 +114,8 @@
         if self.settings.quarantine == QuarantineRule::Off || upstream.is_leaving(self.now) {
             return;
         }
-        let (address, life) = (upstream.address, upstream.life);
-        let print = self.requests[attempt.request].print;
+        let (address, incarnation) = (upstream.address, upstream.incarnation);
+        let fingerprint = self.requests[attempt.request].request_fingerprint;
         let running_ms = attempt
             .first_event_at
             .map_or(0, |began| self.now.since(began));
@@ -122,35 +124,38 @@
         } else {
             quarantine::Involvement::Fresh
         };
-        if self.crash_suspects.account.contains(life) {
-            self.record_crash(life, &[(print, involvement)].into());
+        if self.crash_suspects.history.contains(incarnation) {
+            self.record_crash(incarnation, &[(fingerprint, involvement)].into());
             return;
         }
         let now = self.now;
-        let pending = self.crash_suspects.pending.entry(life);
+        let pending = self.crash_suspects.pending.entry(incarnation);
         let pending = pending.or_insert_with(|| Pending {
             answered: true,
             broken_at: now,
             requests: BTreeMap::new(),
         });
-        pending.requests.insert(print, involvement);
+        pending.requests.insert(fingerprint, involvement);
         if std::mem::replace(&mut pending.answered, false) {
-            self.push_quarantine_effect(effect::Quarantine::CheckCrash { address, life });
+            self.push_quarantine_effect(effect::Quarantine::CheckCrash {
+                address,
+                incarnation,
+            });
         }
     }
 
     /// Handles the result of the check whether an upstream with broken connections has crashed.
-    pub(crate) fn apply_crash_check(&mut self, life: Incarnation, ended: bool) {
+    pub(crate) fn apply_crash_check(&mut self, incarnation: Incarnation, ended: bool) {
         if ended {
-            self.confirm_crash(life);
-        } else if let Some(pending) = self.crash_suspects.pending.get_mut(&life) {
+            self.confirm_crash(incarnation);
+        } else if let Some(pending) = self.crash_suspects.pending.get_mut(&incarnation) {
             pending.answered = true;
         }
-        let is_same_life = |held: &mut Held| held.life == life;
+        let is_same_incarnation = |held: &mut Held| held.incarnation == incarnation;
         let held: Vec<Held> = self
             .crash_suspects
             .held
-            .extract_if(.., is_same_life)
+            .extract_if(.., is_same_incarnation)
             .collect();
         for held in held {
             self.retry_request(held.request, held.reason);
@@ -158,25 +163,25 @@
     }
 
     /// Records an unplanned end of an upstream, with the requests whose connections to it broke.
-    pub(crate) fn confirm_crash(&mut self, life: Incarnation) {
-        if let Some(pending) = self.crash_suspects.pending.remove(&life) {
-            self.record_crash(life, &pending.requests);
+    pub(crate) fn confirm_crash(&mut self, incarnation: Incarnation) {
+        if let Some(pending) = self.crash_suspects.pending.remove(&incarnation) {
+            self.record_crash(incarnation, &pending.requests);
         }
     }
 
     fn record_crash(
         &mut self,
-        life: Incarnation,
+        incarnation: Incarnation,
         requests: &BTreeMap<RequestFingerprint, quarantine::Involvement>,
     ) {
-        let (now, account) = (self.now, &mut self.crash_suspects.account);
+        let (now, history) = (self.now, &mut self.crash_suspects.history);
         let mut news = CrashHistory::default();
-        for (print, involvement) in requests {
-            if account.record(life, *print, *involvement, now) {
-                news.record(life, *print, *involvement, now);
+        for (fingerprint, involvement) in requests {
+            if history.record(incarnation, *fingerprint, *involvement, now) {
+                news.record(incarnation, *fingerprint, *involvement, now);
             }
         }
-        self.crash_suspects.witnessed.insert(life);
+        self.crash_suspects.witnessed.insert(incarnation);
         self.publish_crashes(news);
     }
 
@@ -185,21 +190,21 @@
         if self.settings.quarantine == QuarantineRule::Off {
             return;
         }
-        let changes = self.crash_suspects.account.merge(reported);
+        let changes = self.crash_suspects.history.merge(reported);
         if !changes.is_empty() {
             self.update_quarantine();
         }
     }
 
     /// Clears a request of all crashes, as it was answered completely.
-    pub(crate) fn clear_suspicion(&mut self, print: RequestFingerprint) {
-        if !self.is_crash_suspect(print) {
+    pub(crate) fn clear_suspicion(&mut self, fingerprint: RequestFingerprint) {
+        if !self.is_crash_suspect(fingerprint) {
             return;
         }
         for pending in self.crash_suspects.pending.values_mut() {
-            pending.requests.remove(&print);
+            pending.requests.remove(&fingerprint);
         }
-        let changes = self.crash_suspects.account.clear(print);
+        let changes = self.crash_suspects.history.clear(fingerprint);
         self.publish_crashes(changes);
     }
 
@@ -217,43 +222,53 @@
 
     /// Recomputes the set of quarantined requests from all known crashes, and refuses those that are new in it.
     fn update_quarantine(&mut self) {
-        let own = self.crash_suspects.witnessed_quarantined();
+        let witnessed = self.crash_suspects.witnessed_quarantined();
         let suspects = &mut self.crash_suspects;
         let rule = self.settings.quarantine;
-        suspects.account.evict(rule, self.now);
-        let account = &suspects.account;
-        suspects.witnessed.retain(|life| account.contains(*life));
-        let previous = std::mem::replace(&mut suspects.quarantined, account.quarantined(rule));
+        suspects.history.evict(rule, self.now);
+        let history = &suspects.history;
+        suspects
+            .witnessed
+            .retain(|incarnation| history.contains(*incarnation));
+        let previous = std::mem::replace(&mut suspects.quarantined, history.quarantined(rule));
         let added: Vec<RequestFingerprint> = suspects.quarantined.keys().copied().collect();
         let added = added
             .into_iter()
-            .filter(|print| !previous.contains_key(print));
-        for print in added.collect::<Vec<RequestFingerprint>>() {
-            self.quarantine(print);
+            .filter(|fingerprint| !previous.contains_key(fingerprint));
+        for fingerprint in added.collect::<Vec<RequestFingerprint>>() {
+            self.quarantine(fingerprint);
         }
-        let released =
-            |print: &&RequestFingerprint| !self.crash_suspects.quarantined.contains_key(print);
+        let released = |fingerprint: &&RequestFingerprint| {
+            !self.crash_suspects.quarantined.contains_key(fingerprint)
+        };
         let released: Vec<RequestFingerprint> = previous.keys().filter(released).copied().collect();
-        for print in released {
+        for fingerprint in released {
             // Only an instance that stored the entry deletes it; otherwise hundreds would write when one expires.
-            let own = own.contains(&print);
-            self.push_quarantine_effect(effect::Quarantine::Release { own, print });
+            let witnessed = witnessed.contains(&fingerprint);
+            self.push_quarantine_effect(effect::Quarantine::Release {
+                fingerprint,
+                witnessed,
+            });
         }
-        let account = self.crash_suspects.account.clone();
-        self.push_quarantine_effect(effect::Quarantine::Publish(account));
+        let history = self.crash_suspects.history.clone();
+        self.push_quarantine_effect(effect::Quarantine::Publish(history));
     }
 
     /// Quarantines a request: it is not sent any more, and attempts that upstreams have not started are withdrawn.
-    fn quarantine(&mut self, print: RequestFingerprint) {
+    fn quarantine(&mut self, fingerprint: RequestFingerprint) {
         self.count(Counter::Quarantined);
         let suspects = &self.crash_suspects;
-        let own = suspects.has_witnessed(&suspects.quarantined[&print]);
-        let ends = suspects.account.evidence_for(print);
-        self.push_quarantine_effect(effect::Quarantine::Refuse { ends, own, print });
+        let witnessed = suspects.has_witnessed(&suspects.quarantined[&fingerprint]);
+        let evidence = suspects.history.evidence_for(fingerprint);
+        self.push_quarantine_effect(effect::Quarantine::Refuse {
+            evidence,
+            fingerprint,
+            witnessed,
+        });
         let affected: Vec<request::Key> = self
             .requests
             .iter()
-            .filter(|(_, request)| request.print == print)
+            .filter(|(_, request)| request.request_fingerprint == fingerprint)
             .map(|(key, _)| key)
             .collect();
         for key in affected {
@@ -280,18 +295,22 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let print = request.print;
-        let life = self.upstreams.get(upstream).map(|upstream| upstream.life);
-        let pending = life.filter(|life| {
-            let pending = self.crash_suspects.pending.get(life);
+        let fingerprint = request.request_fingerprint;
+        let incarnation = self
+            .upstreams
+            .get(upstream)
+            .map(|upstream| upstream.incarnation);
+        let pending = incarnation.filter(|incarnation| {
+            let pending = self.crash_suspects.pending.get(incarnation);
             pending.is_some_and(|pending| !pending.answered)
         });
         match pending {
-            Some(life)
-                if self.crash_suspects.crash_count(print) >= quarantine::QUARANTINE_THRESHOLD =>
+            Some(incarnation)
+                if self.crash_suspects.crash_count(fingerprint)
+                    >= quarantine::QUARANTINE_THRESHOLD =>
             {
                 self.crash_suspects.held.push(Held {
-                    life,
+                    incarnation,
                     reason,
                     request: key,
                     until: self.now.after(CHECK_TIMEOUT_MS),
@@ -315,7 +334,7 @@
     /// Retries requests whose crash check timed out, drops old broken connections, and expires recorded crashes.
     pub(crate) fn expire_crash_suspects(&mut self) {
         let now = self.now;
-        if self.crash_suspects.account.has_expired(now) {
+        if self.crash_suspects.history.has_expired(now) {
             self.update_quarantine();
         }
         let pending = &mut self.crash_suspects.pending;
@@ -330,19 +349,24 @@
     /// Number of this instance's requests at an upstream from which a request should be kept apart. For one that was involved
     /// in a crash these are all that were, so that the next crash tells them apart; for any other, those involved in two, so
     /// that it is not involved in their third.
-    pub(crate) fn suspects_at(&self, print: RequestFingerprint, candidate: upstream::Key) -> usize {
+    pub(crate) fn suspects_at(
+        &self,
+        fingerprint: RequestFingerprint,
+        candidate: upstream::Key,
+    ) -> usize {
         if self.crash_suspects.is_idle() {
             return 0;
         }
-        let min_crashes = if self.crash_suspects.is_suspect(print) {
+        let min_crashes = if self.crash_suspects.is_suspect(fingerprint) {
             1
         } else {
             ISOLATION_CRASHES
         };
         let attempts = self.upstreams[candidate].attempts.iter();
-        let others = attempts.map(|attempt| self.requests[self.attempts[*attempt].request].print);
+        let others = attempts
+            .map(|attempt| self.requests[self.attempts[*attempt].request].request_fingerprint);
         let suspects = others.filter(|other| {
-            *other != print && self.crash_suspects.crash_count(*other) >= min_crashes
+            *other != fingerprint && self.crash_suspects.crash_count(*other) >= min_crashes
         });
         suspects.count()
     }
--- a/crates/core/src/timeout.rs
+++ b/crates/core/src/timeout.rs
@@ -20,7 +20,7 @@
 impl LongestTimeout {
     /// Records a caller's timeout. Returns by how much it is shorter than the longest, in
     /// milliseconds.
-    pub fn note(&mut self, timeout_ms: u64, now: Time) -> u64 {
+    pub fn record(&mut self, timeout_ms: u64, now: Time) -> u64 {
         if now.since(self.since) >= PERIOD_MS {
             self.previous = self.current;
             self.current = 0;
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -97,6 +97,8 @@
     pub held: bool,
     /// Whether it is in this instance's subset of the pool; always true without subsetting.
     pub in_subset: bool,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
     /// When anything was last received from it.
     pub last_heard: Time,
     /// When the last probe was sent.
@@ -105,14 +107,14 @@
     pub leaving: bool,
     /// Until when an earlier hint that it is leaving overrides the list.
     pub leaving_until: Time,
-    /// Its incarnation.
-    pub life: Incarnation,
     /// This instance's share of the rate limit; `None` without a limit.
     pub limit_bucket: Option<limit::TokenBucket>,
     /// Maximum number of concurrent requests by the platform's list; 0 if unknown.
     pub listed_slots: u32,
     /// Last load report.
     pub load: Load,
+    /// Recent duration of calls from all instances, in milliseconds; 0 if unknown.
+    pub mean_call_ms: f64,
     /// Unique name in the platform's list.
     pub name: Arc<str>,
     /// Time of the next probe.
@@ -127,8 +129,6 @@
     pub registered_at: Position,
     /// Until when it stays suspected, if upstreams are not probed.
     pub suspected_until: Time,
-    /// Recent duration of calls from all instances, in milliseconds; 0 if unknown.
-    pub takes_ms: f64,
     /// Starts minus ends of this instance's attempts that the last load report does not include.
     pub unreported: i64,
     /// Software version; empty if it does not state one.
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -37,12 +37,12 @@
             }
         }
         for key in changed {
-            let belief = if self.upstreams[key].held {
+            let change = if self.upstreams[key].held {
                 effect::StatusChange::Held
             } else {
                 effect::StatusChange::Released
             };
-            self.log_belief(key, belief);
+            self.log_status_change(key, change);
         }
     }
 }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -49,7 +49,7 @@
         upstream.health = Health::Suspected;
         upstream.suspected_until = self.now.after(self.settings.probe_ms);
         self.count(Counter::Suspected);
-        self.log_belief(key, effect::StatusChange::Doubted);
+        self.log_status_change(key, effect::StatusChange::Suspected);
         if self.settings.probes {
             self.send_probe(key);
         }
@@ -67,7 +67,7 @@
         if self.set_leaving_hint(key) {
             let upstream = &self.upstreams[key];
             self.effects.push(Effect::GossipLeaving {
-                life: upstream.life,
+                incarnation: upstream.incarnation,
                 upstream: upstream.name.clone(),
             });
         }
@@ -83,14 +83,14 @@
         let is_new = !upstream.is_leaving(self.now);
         upstream.leaving_until = until;
         if is_new {
-            self.log_belief(key, effect::StatusChange::Leaving);
+            self.log_status_change(key, effect::StatusChange::Leaving);
         }
         is_new
     }
 
     /// Applies the platform's list: adds new upstreams, and marks or removes those that are leaving or gone.
-    pub(crate) fn apply_list(&mut self, asked_at: Time, listed: Option<&[event::ListEntry]>) {
-        if asked_at >= self.woken_at {
+    pub(crate) fn apply_list(&mut self, requested_at: Time, listed: Option<&[event::ListEntry]>) {
+        if requested_at >= self.resumed_at {
             self.list_stale_until = Time::default();
         }
         let Some(listed) = listed else {
@@ -117,7 +117,7 @@
         let has_new = self.upstreams.len() > known;
         for key in absent {
             if !self.upstreams[key].leaving || self.upstreams[key].attempts.is_empty() {
-                self.log_belief(key, effect::StatusChange::Gone);
+                self.log_status_change(key, effect::StatusChange::Gone);
             }
             self.upstreams[key].leaving = true;
             if self.upstreams[key].attempts.is_empty() {
@@ -133,9 +133,9 @@
         }
         self.hold_back_inactive_versions();
         self.choose_subsets();
-        self.list_read_at = Some(asked_at);
+        self.list_read_at = Some(requested_at);
         self.submit_deferred();
-        self.pump_all();
+        self.dispatch_all();
     }
 
     /// Handles the result of a probe.
@@ -190,14 +190,14 @@
         self.retry_claims();
         self.expire_crash_suspects();
         self.submit_deferred();
-        self.broadcast_demand();
-        if self.now.since(self.swept_at) >= EXPIRY_CHECK_MS {
-            self.swept_at = self.now;
+        self.gossip_demand();
+        if self.now.since(self.expiry_checked_at) >= EXPIRY_CHECK_MS {
+            self.expiry_checked_at = self.now;
             self.hold_back_inactive_versions();
             self.schedule_limit_probes();
             self.expire_requests();
         }
-        self.pump_all();
+        self.dispatch_all();
     }
 
     /// Selects this instance's subset of each pool: the upstreams that its identity ranks first among those that are neither
@@ -214,7 +214,7 @@
                 upstream.health != Health::Lost && !upstream.is_leaving(self.now) && !upstream.held
             });
             ranked.sort_unstable_by_key(|key| {
-                route::rendezvous_rank(self.seed, self.upstreams[*key].life.id)
+                route::rendezvous_rank(self.seed, self.upstreams[*key].incarnation.id)
             });
             ranked.truncate(count);
             for key in &pool.upstreams {
@@ -227,8 +227,8 @@
         let Some(upstream) = self.upstreams.remove(key) else {
             return;
         };
-        if self.lives.get(&upstream.life) == Some(&key) {
-            self.lives.remove(&upstream.life);
+        if self.upstreams_by_incarnation.get(&upstream.incarnation) == Some(&key) {
+            self.upstreams_by_incarnation.remove(&upstream.incarnation);
         }
         if let Some(pool) = self.pools.get_mut(&upstream.pool) {
             pool.upstreams.retain(|other| *other != key);
@@ -237,9 +237,9 @@
     }
 
     /// The known upstream with the same name, which may be another incarnation.
-    fn upstream_by_name(&self, life: Incarnation) -> Option<upstream::Key> {
-        self.lives
-            .range(life.same_name_range())
+    fn upstream_by_name(&self, incarnation: Incarnation) -> Option<upstream::Key> {
+        self.upstreams_by_incarnation
+            .range(incarnation.same_name_range())
             .next()
             .map(|(_, key)| *key)
     }
@@ -247,8 +247,8 @@
     /// Removes the former incarnation of a restarted upstream and retries its work at once. With a silent link, callers
     /// would otherwise get no response before their deadline.
     fn remove_restarted(&mut self, key: upstream::Key) {
-        self.log_belief(key, effect::StatusChange::Restarted);
-        self.confirm_crash(self.upstreams[key].life);
+        self.log_status_change(key, effect::StatusChange::Restarted);
+        self.confirm_crash(self.upstreams[key].incarnation);
         for attempt in self.upstreams[key].attempts.clone() {
             self.abandon(attempt, counter::Reason::Restarted);
         }
@@ -257,14 +257,14 @@
 
     /// Returns the upstream of a list entry, and adds it if it is new. Another start time or address means another upstream.
     fn upsert_listed(&mut self, entry: &event::ListEntry) -> ListedUpstream {
-        let life = entry.life();
-        let known = self.upstream_by_name(life);
+        let incarnation = entry.incarnation();
+        let known = self.upstream_by_name(incarnation);
         if let Some(key) = known
-            && self.upstreams[key].life == life
+            && self.upstreams[key].incarnation == incarnation
             && self.upstreams[key].address == entry.address
         {
             if entry.leaving && !self.upstreams[key].is_leaving(self.now) {
-                self.log_belief(key, effect::StatusChange::Leaving);
+                self.log_status_change(key, effect::StatusChange::Leaving);
             }
             self.upstreams[key].leaving = entry.leaving;
             self.upstreams[key].listed_slots = entry.slots;
@@ -274,11 +274,12 @@
                 predecessor: None,
             };
         }
-        let predecessor = known.filter(|key| self.upstreams[*key].life != life);
+        let predecessor = known.filter(|key| self.upstreams[*key].incarnation != incarnation);
         if let Some(predecessor) = predecessor {
             let predecessor = &mut self.upstreams[predecessor];
             predecessor.health = Health::Lost;
-            self.lives.remove(&predecessor.life);
+            self.upstreams_by_incarnation
+                .remove(&predecessor.incarnation);
         }
         let name: Arc<str> = entry.name.as_str().into();
         let pool: Arc<str> = entry.pool.as_str().into();
@@ -286,36 +287,36 @@
             address: entry.address,
             attempts: Vec::new(),
             data_centre: entry.data_centre.as_str().into(),
-            declared: self.retained_states.take(life, entry.address),
+            declared: self.retained_states.take(incarnation, entry.address),
             detector: StallDetector::default(),
             failure_score: upstream::FailureScore::default(),
             full_until: Time::default(),
             health: Health::Live,
             held: false,
             in_subset: true,
+            incarnation,
             last_heard: self.now,
             last_probe: Time::default(),
             leaving: entry.leaving,
             leaving_until: Time::default(),
-            life,
             limit_bucket: None,
             listed_slots: entry.slots,
             load: Load::default(),
+            mean_call_ms: 0.0,
             name: name.clone(),
             next_probe: self.now,
             pool: pool.clone(),
             probe_sent: None,
             recent_changes: VecDeque::new(),
-            registered_at: entry.since,
+            registered_at: entry.registered_at,
             suspected_until: Time::default(),
-            takes_ms: 0.0,
             unreported: 0,
             version: entry.version.as_str().into(),
         });
-        self.sightings.resolve(life, key, self.now);
-        self.lives.insert(life, key);
+        self.sightings.resolve(incarnation, key, self.now);
+        self.upstreams_by_incarnation.insert(incarnation, key);
         self.pools.entry(pool).or_default().upstreams.push(key);
-        self.log_belief(key, effect::StatusChange::New);
+        self.log_status_change(key, effect::StatusChange::New);
         if let Some(rate) = self.upstreams[key].declared.limit {
             self.set_limit(key, rate);
         }
@@ -359,9 +360,9 @@
         }
         upstream.health = Health::Lost;
         upstream.failure_score.record(self.now);
-        let life = upstream.life;
-        self.log_belief(key, effect::StatusChange::Replaced);
-        self.confirm_crash(life);
+        let incarnation = upstream.incarnation;
+        self.log_status_change(key, effect::StatusChange::Replaced);
+        self.confirm_crash(incarnation);
     }
 
     /// Marks an upstream as lost, and abandons all its attempts.
@@ -371,7 +372,7 @@
         }
         self.upstreams[key].health = Health::Lost;
         self.count(Counter::UpstreamLost);
-        self.log_belief(key, effect::StatusChange::Lost);
+        self.log_status_change(key, effect::StatusChange::Lost);
         self.choose_subsets();
         for attempt in self.upstreams[key].attempts.clone() {
             self.abandon(attempt, counter::Reason::Probe);
@@ -392,7 +393,7 @@
         });
     }
 
-    fn pump_all(&mut self) {
+    fn dispatch_all(&mut self) {
         let waiting: Vec<Arc<str>> = self
             .pools
             .iter()
@@ -433,7 +434,7 @@
     /// failed for a while.
     pub(crate) fn resume_after_pause(&mut self, gap_ms: u64) {
         self.count(Counter::Paused);
-        self.woken_at = self.now;
+        self.resumed_at = self.now;
         if gap_ms > LIST_STALE_MS {
             self.list_stale_until = self.now.after(LIST_WAIT_MS);
         }
@@ -466,16 +467,16 @@
         let upstream = &mut self.upstreams[key];
         if upstream.health == Health::Suspected && self.now >= upstream.suspected_until {
             upstream.health = Health::Live;
-            self.log_belief(key, effect::StatusChange::Trusted);
+            self.log_status_change(key, effect::StatusChange::Recovered);
         }
     }
 
     /// Logs a changed belief about an upstream.
-    pub(crate) fn log_belief(&mut self, key: upstream::Key, belief: effect::StatusChange) {
+    pub(crate) fn log_status_change(&mut self, key: upstream::Key, change: effect::StatusChange) {
         let upstream = &self.upstreams[key];
         self.effects.push(Effect::LogUpstream {
-            change: belief,
-            born: upstream.life.born,
+            change,
+            born: upstream.incarnation.born,
             silent_ms: self.now.since(upstream.last_heard),
             upstream: upstream.name.clone(),
         });
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -120,7 +120,7 @@
             leaving: leaving == Some(index),
             name: format!("runner-{index}"),
             pool: "runner".into(),
-            since: Position::default(),
+            registered_at: Position::default(),
             slots: 0,
             version: String::new(),
         });
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -13,7 +13,7 @@
 
 const NOW: Time = Time(1_800_000_000_000);
 
-fn life(number: u64) -> Incarnation {
+fn incarnation(number: u64) -> Incarnation {
     Incarnation {
         id: number,
         born: 0,
@@ -24,11 +24,11 @@
 fn history(crashes: &[(u64, &[u64])]) -> CrashHistory {
     let mut history = CrashHistory::default();
     for (upstream, prints) in crashes {
-        for print in *prints {
+        for fingerprint in *prints {
             let at = NOW.after(*upstream);
             history.record(
-                life(*upstream),
-                RequestFingerprint(*print),
+                incarnation(*upstream),
+                RequestFingerprint(*fingerprint),
                 Involvement::Fresh,
                 at,
             );
@@ -40,7 +40,10 @@
 /// Requests quarantined by the rule `Explained`.
 fn quarantined(history: &CrashHistory) -> Vec<u64> {
     let quarantined = history.quarantined(QuarantineRule::Explained);
-    quarantined.into_keys().map(|print| print.0).collect()
+    quarantined
+        .into_keys()
+        .map(|fingerprint| fingerprint.0)
+        .collect()
 }
 
 #[gtest]
@@ -86,7 +89,7 @@
     let mut history = history(&crashes);
     for upstream in [1, 2, 4, 5] {
         history.record(
-            life(upstream),
+            incarnation(upstream),
             RequestFingerprint(7),
             Involvement::Fresh,
             NOW.after(upstream),
@@ -94,7 +97,7 @@
     }
     expect_that!(quarantined(&history), elements_are![eq(&1), eq(&2), eq(&3)]);
     history.record(
-        life(7),
+        incarnation(7),
         RequestFingerprint(7),
         Involvement::Fresh,
         NOW.after(7),
@@ -126,7 +129,12 @@
 fn of_two_suspects_with_equal_crashes_the_one_that_had_run_is_not_quarantined() {
     let mut history = history(&[(1, &[7]), (2, &[7]), (3, &[7])]);
     for upstream in 1..=3 {
-        history.record(life(upstream), RequestFingerprint(8), Involvement::Ran, NOW);
+        history.record(
+            incarnation(upstream),
+            RequestFingerprint(8),
+            Involvement::Ran,
+            NOW,
+        );
     }
     expect_that!(quarantined(&history), elements_are![eq(&7)]);
 }
@@ -137,10 +145,25 @@
     let news = history.clear(RequestFingerprint(7));
     expect_that!(quarantined(&history), is_empty());
     expect_that!(news.len(), eq(3));
-    history.record(life(4), RequestFingerprint(7), Involvement::Fresh, NOW);
-    history.record(life(5), RequestFingerprint(7), Involvement::Fresh, NOW);
+    history.record(
+        incarnation(4),
+        RequestFingerprint(7),
+        Involvement::Fresh,
+        NOW,
+    );
+    history.record(
+        incarnation(5),
+        RequestFingerprint(7),
+        Involvement::Fresh,
+        NOW,
+    );
     expect_that!(quarantined(&history), is_empty());
-    history.record(life(6), RequestFingerprint(7), Involvement::Fresh, NOW);
+    history.record(
+        incarnation(6),
+        RequestFingerprint(7),
+        Involvement::Fresh,
+        NOW,
+    );
     expect_that!(quarantined(&history), elements_are![eq(&7)]);
 }
 
@@ -199,7 +222,7 @@
     for upstream in 10..2_000 {
         let at = NOW.after(upstream);
         history.record(
-            life(upstream),
+            incarnation(upstream),
             RequestFingerprint(1_000 + upstream),
             Involvement::Fresh,
             at,
@@ -208,8 +231,13 @@
     }
     expect_that!(history.len(), le(512));
     expect_that!(quarantined(&history), elements_are![eq(&7)]);
-    for print in 0..1_000 {
-        history.record(life(1), RequestFingerprint(print), Involvement::Fresh, NOW);
+    for fingerprint in 0..1_000 {
+        history.record(
+            incarnation(1),
+            RequestFingerprint(fingerprint),
+            Involvement::Fresh,
+            NOW,
+        );
     }
     let there = history.crashes().map(|(_, crash)| crash.requests.len());
     expect_that!(there.max(), some(le(64)));
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -179,10 +179,13 @@
     }
 
     /// Breaks the connection of an attempt; the crash check then finds that its upstream has ended or is alive.
-    pub fn break_connection(&mut self, sent: &Sent, ended: bool) {
+    pub fn break_connection(&mut self, sent: &Sent, crashed: bool) {
         self.fail(sent, Failure::Broken);
-        let life = life(sent.upstream, 0);
-        self.handle(Event::CrashChecked { ended, life });
+        let incarnation = incarnation(sent.upstream, 0);
+        self.handle(Event::CrashChecked {
+            crashed,
+            incarnation,
+        });
     }
 
     pub fn answer(&mut self, sent: &Sent, verdict: Verdict) {
@@ -316,7 +319,7 @@
         leaving: false,
         name: format!("runner-{name}"),
         pool: "pool".into(),
-        since: Position::default(),
+        registered_at: Position::default(),
         slots: 0,
         version: String::new(),
     }
@@ -380,18 +383,18 @@
 }
 
 /// Incarnation of an upstream with the given start time.
-pub fn life(upstream: usize, born: u64) -> Incarnation {
+pub fn incarnation(upstream: usize, born: u64) -> Incarnation {
     Incarnation::new(&format!("runner-{upstream}"), born)
 }
 
 pub fn sighting(upstream: usize, backup: usize) -> Sighting {
     Sighting {
-        backup: Some(life(backup, 0)),
+        backup: Some(incarnation(backup, 0)),
         pool: String::new(),
         prompt: 77,
         run: "run-before".into(),
         stage: Stage::Streaming,
         tokens: 5_200,
-        upstream: Some(life(upstream, 0)),
+        upstream: Some(incarnation(upstream, 0)),
     }
 }
--- a/crates/core/tests/relay/fleet.rs
+++ b/crates/core/tests/relay/fleet.rs
@@ -204,13 +204,13 @@
     test.request(NON_REPEATABLE);
     test.advance(300);
     let sent = test.effects.iter().find_map(|effect| match effect {
-        Effect::GossipDemand { demand, pressed } => Some((demand.clone(), *pressed)),
+        Effect::GossipDemand { demand, urgent } => Some((demand.clone(), *urgent)),
         _ => None,
     });
-    let (demand, pressed) = sent.expect("a demand message is sent");
+    let (demand, urgent) = sent.expect("a demand message is sent");
     expect_that!(demand.running, eq(2));
     expect_that!(demand.arrival_rate, gt(0.0));
-    expect_that!(pressed, eq(false));
+    expect_that!(urgent, eq(false));
 }
 
 /// Number of times that a failing call is sent, with this arrival rate at each of 294 other
--- a/crates/core/tests/relay/life.rs
+++ b/crates/core/tests/relay/incarnation.rs
@@ -30,8 +30,8 @@
 fn copy_at_a_former_incarnation_is_not_resumed_from() {
     let mut test = started_at_5(6);
     test.handle(Event::PeerStream(Sighting {
-        backup: Some(life(4, 5)),
-        upstream: Some(life(1, 5)),
+        backup: Some(incarnation(4, 5)),
+        upstream: Some(incarnation(1, 5)),
         ..sighting(1, 4)
     }));
     let mut listed: Vec<ListEntry> = (0..6).map(|index| listed_since(index, 5)).collect();
@@ -47,7 +47,7 @@
     let mut test = started_at_5(1);
     let newer = ListEntry {
         pool: "another".into(),
-        since: Position::new(0, 70),
+        registered_at: Position::new(0, 70),
         ..listed(9, 0)
     };
     test.list(vec![listed_since(0, 5), newer]);
@@ -72,7 +72,7 @@
     let mut test = started_at_5(1);
     let foreign = ListEntry {
         pool: "another".into(),
-        since: Position::new(0, 70),
+        registered_at: Position::new(0, 70),
         ..listed(9, 0)
     };
     test.list(vec![listed_since(0, 5), foreign]);
@@ -95,7 +95,7 @@
     let mut test = started_at_5(6);
     test.list((0..6).map(|index| listed_since(index, 9)).collect());
     for upstream in [0, 1] {
-        test.handle(Event::PeerLoss(life(upstream, 5)));
+        test.handle(Event::PeerLoss(incarnation(upstream, 5)));
     }
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..30 {
@@ -139,7 +139,7 @@
             backup: None,
             prompt: 1_000 + prompt,
             stage: Stage::Started,
-            upstream: Some(life(0, 5)),
+            upstream: Some(incarnation(0, 5)),
             ..sighting(0, 0)
         }));
     }
--- a/crates/core/tests/relay/limit.rs
+++ b/crates/core/tests/relay/limit.rs
@@ -121,7 +121,7 @@
     let running = test.stream(2);
     let holder = running.backup.unwrap();
     test.handle(Event::PeerLimit {
-        life: life(holder, 0),
+        incarnation: incarnation(holder, 0),
         rate: Some(Rate(100)),
     });
     test.fail(&running, Failure::Broken);
@@ -181,8 +181,8 @@
 fn limit_reported_by_a_peer_applies_until_the_peer_reports_its_end() {
     let mut test = Test::new(1);
     let tell = |test: &mut Test, rate: Option<Rate>| {
-        let life = life(0, 0);
-        test.handle(Event::PeerLimit { life, rate });
+        let incarnation = incarnation(0, 0);
+        test.handle(Event::PeerLimit { incarnation, rate });
     };
     tell(&mut test, Some(Rate(1_000)));
     expect_that!(test.send_calls(5 * SECOND, Limit::Unknown), le(6));
@@ -198,7 +198,7 @@
     let sent = test.last_sent();
     let rate = Rate(1_000);
     test.handle(Event::PeerLimit {
-        life: life(0, 0),
+        incarnation: incarnation(0, 0),
         rate: Some(rate),
     });
     test.announce_limit(&sent, Limit::Rate(rate));
@@ -267,8 +267,8 @@
     for _ in 0..40 {
         test.advance(5 * SECOND);
         let rate = Some(Rate(1_000));
-        let life = life(0, 0);
-        test.handle(Event::PeerLimit { life, rate });
+        let incarnation = incarnation(0, 0);
+        test.handle(Event::PeerLimit { incarnation, rate });
         test.request(NON_REPEATABLE);
     }
     expect_that!(test.sent().len(), eq(known));
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -28,7 +28,7 @@
 mod builder;
 mod capacity;
 mod fleet;
-mod life;
+mod incarnation;
 mod limit;
 mod notice;
 mod poison;
@@ -358,12 +358,12 @@
 #[gtest]
 fn last_registered_upstream_at_an_address_receives_requests() {
     let older = ListEntry {
-        since: Position::new(0, 4),
+        registered_at: Position::new(0, 4),
         slots: 0,
         ..listed(0, 0)
     };
     let newer = ListEntry {
-        since: Position::new(0, 7),
+        registered_at: Position::new(0, 7),
         slots: 0,
         ..listed(9, 0)
     };
@@ -413,7 +413,7 @@
     let mut test = Test::new(6);
     for upstream in [0, 1] {
         test.now = test.now.after(5);
-        test.handle(Event::PeerLoss(life(upstream, 0)));
+        test.handle(Event::PeerLoss(incarnation(upstream, 0)));
     }
     for _ in 0..10 {
         test.request(REPEATABLE);
@@ -427,10 +427,10 @@
     let sent = test.stream(1);
     test.fail(&sent, Failure::Broken);
     let blamed = test.effects.iter().find_map(|effect| match effect {
-        Effect::GossipLost(life) => Some(*life),
+        Effect::GossipLost(incarnation) => Some(*incarnation),
         _ => None,
     });
-    expect_that!(blamed, some(eq(life(sent.upstream, 0))));
+    expect_that!(blamed, some(eq(incarnation(sent.upstream, 0))));
 }
 
 #[gtest]
--- a/crates/core/tests/relay/notice.rs
+++ b/crates/core/tests/relay/notice.rs
@@ -183,7 +183,7 @@
     let is_leaving = |effect: &&Effect| matches!(effect, Effect::GossipLeaving { .. });
     expect_that!(test.effects.iter().filter(is_leaving).count(), eq(1));
     let mut other = Test::new(2);
-    other.handle(Event::PeerLeaving(life(left, 0)));
+    other.handle(Event::PeerLeaving(incarnation(left, 0)));
     expect_that!(
         other.upstreams_called(NON_REPEATABLE),
         elements_are![eq(&(1 - left))]
@@ -195,7 +195,7 @@
 #[gtest]
 fn leaving_reported_by_a_peer_expires() {
     let mut test = Test::new(2);
-    test.handle(Event::PeerLeaving(life(0, 0)));
+    test.handle(Event::PeerLeaving(incarnation(0, 0)));
     test.advance(31_000);
     expect_that!(
         test.upstreams_called(NON_REPEATABLE),
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -3,17 +3,22 @@
 use super::*;
 
 /// Fingerprint of the request that the tests send with this body.
-fn print(body: u64) -> RequestFingerprint {
+fn fingerprint(body: u64) -> RequestFingerprint {
     RequestFingerprint::new("mill", body)
 }
 
 /// A report from another instance of upstreams that crashed while running a request.
 fn reported(body: u64, upstreams: std::ops::Range<usize>) -> Event {
-    let mut account = CrashHistory::default();
+    let mut history = CrashHistory::default();
     for upstream in upstreams {
-        account.record(life(upstream, 0), print(body), Involvement::Fresh, NOW);
+        history.record(
+            incarnation(upstream, 0),
+            fingerprint(body),
+            Involvement::Fresh,
+            NOW,
+        );
     }
-    Event::CrashReported(account.into())
+    Event::CrashReported(history.into())
 }
 
 /// Crashes upstreams under a stream, one after the other.
@@ -84,8 +89,11 @@
     test.advance(100);
     expect_that!(test.sent().len(), eq(3));
     expect_that!(test.outcomes(), is_empty());
-    let life = life(third.upstream, 0);
-    test.handle(Event::CrashChecked { ended: false, life });
+    let incarnation = incarnation(third.upstream, 0);
+    test.handle(Event::CrashChecked {
+        crashed: false,
+        incarnation,
+    });
     expect_that!(test.sent().len(), eq(4));
 }
 
@@ -130,8 +138,11 @@
     for _ in 0..3 {
         let sent = test.last_sent();
         test.fail(&sent, Failure::Broken);
-        let life = life(sent.upstream, births[sent.upstream]);
-        test.handle(Event::CrashChecked { ended: false, life });
+        let incarnation = incarnation(sent.upstream, births[sent.upstream]);
+        test.handle(Event::CrashChecked {
+            crashed: false,
+            incarnation,
+        });
         births[sent.upstream] += 5;
         test.list(list(&births));
     }
@@ -150,7 +161,7 @@
         test.break_connection(&sent, true);
     }
     expect_that!(test.sent().len(), eq(5));
-    expect_that!(test.core.account().is_empty(), eq(true));
+    expect_that!(test.core.crash_history().is_empty(), eq(true));
 }
 
 #[gtest]
@@ -222,8 +233,8 @@
             test.request(STREAM);
             together.push(test.last_sent());
         }
-        let account = |body| reported(body, 20..21);
-        (0..4).for_each(|body| test.handle(account(body)));
+        let history = |body| reported(body, 20..21);
+        (0..4).for_each(|body| test.handle(history(body)));
         let before = test.sent().len();
         for sent in &together {
             test.break_connection(sent, true);
@@ -304,11 +315,14 @@
     let released = |test: &mut Test| {
         test.now = test.now.after(25 * 3_600_000);
         test.handle(Event::Tick);
-        let own = |effect: &Effect| match effect {
-            Effect::Quarantine(effect::Quarantine::Release { own, .. }) => Some(*own),
+        let witnessed = |effect: &Effect| match effect {
+            Effect::Quarantine(effect::Quarantine::Release { witnessed, .. }) => Some(*witnessed),
             _ => None,
         };
-        test.effects.iter().filter_map(own).collect::<Vec<bool>>()
+        test.effects
+            .iter()
+            .filter_map(witnessed)
+            .collect::<Vec<bool>>()
     };
     let mut observer = Test::new(9);
     crash_upstreams(&mut observer, 3);
--- a/crates/core/tests/relay/version.rs
+++ b/crates/core/tests/relay/version.rs
@@ -5,7 +5,7 @@
 /// List entry for an upstream with the given version; registered in the order of places.
 fn of_version(place: usize, version: &str) -> ListEntry {
     ListEntry {
-        since: Position::new(0, 10 + place as u64),
+        registered_at: Position::new(0, 10 + place as u64),
         version: version.into(),
         ..listed(place, place)
     }
@@ -84,8 +84,8 @@
 fn copy_at_another_version_is_not_resumed_from() {
     let mut test = with_new_version();
     test.handle(Event::PeerStream(Sighting {
-        backup: Some(life(8, 0)),
-        upstream: Some(life(7, 0)),
+        backup: Some(incarnation(8, 0)),
+        upstream: Some(incarnation(7, 0)),
         ..sighting(7, 8)
     }));
     test.request_as("key", STREAM, 9);
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -29,7 +29,7 @@
         leaving: false,
         name: name.clone(),
         pool: "engines".into(),
-        since: to,
+        registered_at: to,
         slots: 8,
         version: String::new(),
     };
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -314,7 +314,10 @@
                 };
                 self.reply(caller, reply);
             }
-            Effect::GossipDemand { demand, pressed } => {
+            Effect::GossipDemand {
+                demand,
+                urgent: pressed,
+            } => {
                 self.tell_others(gossip::Told::Demand { demand, pressed });
             }
             Effect::Detach(attempt) => self.abort(attempt),
@@ -334,9 +337,15 @@
                 position,
                 reason,
             } => self.end(caller, Reply::Finished { position, reason }),
-            Effect::GossipLeaving { life, upstream } => self.leaves(life, &upstream),
+            Effect::GossipLeaving {
+                incarnation: life,
+                upstream,
+            } => self.leaves(life, &upstream),
             Effect::LogRequest(note) => note::write(&note),
-            Effect::GossipLimit { life, rate } => {
+            Effect::GossipLimit {
+                incarnation: life,
+                rate,
+            } => {
                 self.tell_others(gossip::Told::Limit { life, rate });
             }
             Effect::ForwardHead(caller) => {
@@ -344,7 +353,7 @@
                     self.reply(caller, Reply::Open(head));
                 }
             }
-            Effect::GossipPace(pace) => self.tell_others(gossip::Told::Pace(pace)),
+            Effect::GossipSpeed(pace) => self.tell_others(gossip::Told::Pace(pace)),
             Effect::ForwardEvent { bytes, caller } => self.reply(caller, Reply::Pass(bytes)),
             Effect::Probe { address, upstream } => {
                 let probe = probe::run(self.probes.clone(), self.driver.clone(), upstream, address);
@@ -379,10 +388,16 @@
     /// Carries out a decision on requests that end their upstreams.
     fn quarantine(&self, effect: effect::Quarantine) {
         match effect {
-            effect::Quarantine::CheckCrash { address, life } => {
+            effect::Quarantine::CheckCrash {
+                address,
+                incarnation: life,
+            } => {
                 tokio::spawn(check::run(self.driver.clone(), address, life));
             }
-            effect::Quarantine::Release { own, print } => {
+            effect::Quarantine::Release {
+                fingerprint: print,
+                witnessed: own,
+            } => {
                 note::free(print);
                 if own {
                     self.keep(keeper::Kept::Nothing(print));
@@ -391,7 +406,11 @@
             effect::Quarantine::Publish(account) => {
                 self.account.send_replace(account::Known::new(account));
             }
-            effect::Quarantine::Refuse { ends, own, print } => {
+            effect::Quarantine::Refuse {
+                evidence: ends,
+                fingerprint: print,
+                witnessed: own,
+            } => {
                 note::quarantine(print, &ends, own);
                 if own {
                     self.keep(keeper::Kept::Ends(print, ends));
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -204,14 +204,17 @@
         for limit in told.limits {
             let life = decode_life(limit.life.unwrap_or_default());
             let rate = limit.rate.map(Rate);
-            self.driver.event(Event::PeerLimit { life, rate });
+            self.driver.event(Event::PeerLimit {
+                incarnation: life,
+                rate,
+            });
         }
         for demand in told.demands {
             let demand = decode_demand(demand);
             self.driver.event(Event::PeerDemand { demand, from });
         }
         for pace in told.paces {
-            self.driver.event(Event::PeerPace(decode_pace(pace)));
+            self.driver.event(Event::PeerSpeed(decode_pace(pace)));
         }
         let word = told.roster.map(decode_word);
         let confirmed = told.confirmed.map(decode_confirmed);
@@ -514,7 +517,7 @@
             leaving: entry.leaving,
             name: name.clone(),
             pool: entry.pool,
-            since: Position::new(era, entry.since),
+            registered_at: Position::new(era, entry.since),
             slots: entry.slots,
             version: entry.version,
         }),
@@ -563,7 +566,7 @@
             odd: false,
             pool: listed.pool,
             revision,
-            since: listed.since.revision,
+            since: listed.registered_at.revision,
             slots: listed.slots,
             version: listed.version,
         },
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -73,7 +73,7 @@
         leaving: line.leaving,
         name: line.instance.clone(),
         pool: line.pool.clone(),
-        since: Position::default(),
+        registered_at: Position::default(),
         slots: 0,
         version: String::new(),
     }
--- a/crates/node/src/note.rs
+++ b/crates/node/src/note.rs
@@ -59,7 +59,7 @@
     let service = note.service.name.as_str();
     let upstream = note.upstream.as_deref().unwrap_or_default();
     let position = note.position;
-    let fingerprint = note.print.to_string();
+    let fingerprint = note.fingerprint.to_string();
     match &note.step {
         Step::Answered => {
             info!(request, fingerprint, customer, service, model, upstream, position; "answered");
--- a/crates/standin/src/bench.rs
+++ b/crates/standin/src/bench.rs
@@ -367,7 +367,7 @@
             leaving: false,
             name: format!("runner-{index}"),
             pool: "runner".into(),
-            since: Position::default(),
+            registered_at: Position::default(),
             slots: 0,
             version: String::new(),
         });
@@ -379,7 +379,7 @@
             leaving: false,
             name: format!("entry-{index}"),
             pool: wellplank_core::core::INSTANCE_POOL.into(),
-            since: Position::default(),
+            registered_at: Position::default(),
             slots: 0,
             version: String::new(),
         });
--- a/crates/standin/src/learning.rs
+++ b/crates/standin/src/learning.rs
@@ -750,7 +750,7 @@
             leaving: false,
             name,
             pool: "pool".into(),
-            since: Position::default(),
+            registered_at: Position::default(),
             slots: 8,
             version: String::new(),
         };
--- a/crates/standin/src/placing.rs
+++ b/crates/standin/src/placing.rs
@@ -55,7 +55,7 @@
         leaving: false,
         name: format!("engine-{index}"),
         pool: "engines".into(),
-        since: Position::default(),
+        registered_at: Position::default(),
         slots: 32,
         version: String::new(),
     }
--- a/crates/standin/src/poison.rs
+++ b/crates/standin/src/poison.rs
@@ -262,7 +262,10 @@
                 continue;
             };
             for print in core.quarantined() {
-                let _ = self.poison.kept.merge(&core.account().evidence_for(print));
+                let _ = self
+                    .poison
+                    .kept
+                    .merge(&core.crash_history().evidence_for(print));
             }
         }
         let kept = self.poison.kept.clone();
--- a/crates/standin/src/pool.rs
+++ b/crates/standin/src/pool.rs
@@ -131,7 +131,7 @@
             leaving: upstream.leaving.is_some(),
             name: format!("{index}-{}", upstream.life),
             pool: if upstream.calls { "desk" } else { "engines" }.into(),
-            since: Position::default(),
+            registered_at: Position::default(),
             slots: 0,
             version: String::new(),
         };
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -134,7 +134,7 @@
     pub fn enter(&mut self, mut listed: ListEntry, lapses: Time) {
         let known = self.items.get(&listed.name);
         let since = known.map_or(self.revision + 1, |item| item.since);
-        listed.since = Position::new(self.era, since);
+        listed.registered_at = Position::new(self.era, since);
         let name = listed.name.clone();
         self.write(&name, Entry::Listed(listed), lapses);
     }
--- a/crates/standin/src/relaying.rs
+++ b/crates/standin/src/relaying.rs
@@ -471,17 +471,30 @@
                 let close = Action::Close(line(attempt), index(address));
                 self.timeline.schedule(1, close);
             }
-            Effect::Quarantine(effect::Quarantine::CheckCrash { address, life }) => {
+            Effect::Quarantine(effect::Quarantine::CheckCrash {
+                address,
+                incarnation: life,
+            }) => {
                 let upstream = &self.upstreams[index(address)];
                 let name = format!("{}-{}", index(address), upstream.life);
                 let runs = upstream.mode != Mode::Down && Incarnation::new(&name, 0) == life;
                 let ended = !runs;
-                self.event_soon(instance, Event::CrashChecked { ended, life });
+                self.event_soon(
+                    instance,
+                    Event::CrashChecked {
+                        crashed: ended,
+                        incarnation: life,
+                    },
+                );
             }
             Effect::Quarantine(effect::Quarantine::Publish(account)) => {
                 self.instances[instance].account = (account.digest(), account);
             }
-            Effect::Quarantine(effect::Quarantine::Refuse { ends, own, .. }) => {
+            Effect::Quarantine(effect::Quarantine::Refuse {
+                evidence: ends,
+                witnessed: own,
+                ..
+            }) => {
                 if own && self.poison.store {
                     let _ = self.poison.kept.merge(&ends);
                 }
@@ -496,11 +509,22 @@
                     from: address(instance),
                 },
             ),
-            Effect::GossipLeaving { life, .. } => self.gossip(instance, &Event::PeerLeaving(life)),
-            Effect::GossipLimit { life, rate } => {
-                self.gossip(instance, &Event::PeerLimit { life, rate });
+            Effect::GossipLeaving {
+                incarnation: life, ..
+            } => self.gossip(instance, &Event::PeerLeaving(life)),
+            Effect::GossipLimit {
+                incarnation: life,
+                rate,
+            } => {
+                self.gossip(
+                    instance,
+                    &Event::PeerLimit {
+                        incarnation: life,
+                        rate,
+                    },
+                );
             }
-            Effect::GossipPace(pace) => self.gossip(instance, &Event::PeerPace(pace)),
+            Effect::GossipSpeed(pace) => self.gossip(instance, &Event::PeerSpeed(pace)),
             Effect::EndStream(caller) => {
                 let asker = self.connections.get(&caller).copied();
                 if let Some(asker) = asker
--- a/crates/standin/src/rush.rs
+++ b/crates/standin/src/rush.rs
@@ -523,7 +523,7 @@
             leaving: false,
             name: format!("desk-{index}"),
             pool: "desk".into(),
-            since: Position::default(),
+            registered_at: Position::default(),
             slots: self.plan.slots as u32,
             version: String::new(),
         };
@@ -614,13 +614,22 @@
                 }
             }
             Effect::Cancel { attempt, .. } => self.leave(instance, attempt),
-            Effect::GossipDemand { demand, pressed } => {
+            Effect::GossipDemand {
+                demand,
+                urgent: pressed,
+            } => {
                 let from = address(instance);
                 let event = Event::PeerDemand { demand, from };
                 self.spread(instance, &event, pressed);
             }
-            Effect::GossipLimit { life, rate } => {
-                let event = Event::PeerLimit { life, rate };
+            Effect::GossipLimit {
+                incarnation: life,
+                rate,
+            } => {
+                let event = Event::PeerLimit {
+                    incarnation: life,
+                    rate,
+                };
                 for to in (0..self.cores.len()).filter(|to| *to != instance) {
                     if self.random.random::<f64>() >= LOST {
                         let action = Action::Tell(to, event.clone());
--- a/crates/standin/src/surge.rs
+++ b/crates/standin/src/surge.rs
@@ -260,7 +260,7 @@
             leaving: false,
             name: format!("engine-{index}"),
             pool: "engines".into(),
-            since: Position::default(),
+            registered_at: Position::default(),
             slots: 0,
             version: String::new(),
         };
@@ -389,9 +389,9 @@
                     self.askers[*asker].first.get_or_insert(now);
                 }
             }
-            Effect::GossipPace(pace) => {
+            Effect::GossipSpeed(pace) => {
                 for other in (0..self.cores.len()).filter(|other| *other != instance) {
-                    let event = Event::PeerPace(pace.clone());
+                    let event = Event::PeerSpeed(pace.clone());
                     self.timeline
                         .schedule(CARRIED_MS, Action::Tell(other, event));
                 }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -340,12 +340,22 @@
                     self.schedule(3, Action::Arrive(upstream, Arrival::Cancel(stream)));
                 }
             }
-            Effect::Quarantine(effect::Quarantine::CheckCrash { address, life }) => {
+            Effect::Quarantine(effect::Quarantine::CheckCrash {
+                address,
+                incarnation: life,
+            }) => {
                 let ended = match self.upstreams[index_of(address)].mode {
                     Mode::CutOut | Mode::Frozen | Mode::Silent => return,
                     mode => mode == Mode::Dead,
                 };
-                self.event(instance, 3, Event::CrashChecked { ended, life });
+                self.event(
+                    instance,
+                    3,
+                    Event::CrashChecked {
+                        crashed: ended,
+                        incarnation: life,
+                    },
+                );
             }
             Effect::Claim { claim, request } => self.claim(instance, &claim, request),
             Effect::Count(counter, count) => {
@@ -382,7 +392,7 @@
             | Effect::GossipLimit { .. }
             | Effect::LogRequest { .. }
             | Effect::ForwardHead(_)
-            | Effect::GossipPace(_)
+            | Effect::GossipSpeed(_)
             | Effect::ForwardEvent { .. }
             | Effect::Quarantine(_)
             | Effect::GossipStream(_)
@@ -468,7 +478,7 @@
                 leaving: self.left[index].is_some(),
                 name: self.upstreams[index].name.clone(),
                 pool: pool_of(index, self.engines).into(),
-                since: Position::default(),
+                registered_at: Position::default(),
                 slots: 0,
                 version: String::new(),
             })
@@ -479,7 +489,7 @@
                 leaving: false,
                 name: format!("entry-{index}"),
                 pool: wellplank_core::core::INSTANCE_POOL.into(),
-                since: Position::default(),
+                registered_at: Position::default(),
                 slots: 0,
                 version: String::new(),
             }))
