--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -82,7 +82,7 @@
             request.arrived_at
         };
         let pool = request.service.pool();
-        let ahead = self.sightings.waiting(pool, before);
+        let ahead = self.stream_records.waiting(pool, before);
         if ahead > 0 && room.turns {
             let stream_capacity =
                 |key: &upstream::Key| self.stream_capacity(need, self.usage(own, *key));
@@ -267,7 +267,7 @@
     /// Number of streams that wait for capacity in a pool, here and at other instances.
     fn queued_streams(&self, pool: &str) -> usize {
         let here = self.pools.get(pool).map_or(0, |pool| pool.queue.len());
-        here + self.sightings.waiting(pool, self.now)
+        here + self.stream_records.waiting(pool, self.now)
     }
 
     /// Records that a stream found no capacity. Returns the age of the shortage in milliseconds.
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -73,11 +73,14 @@
     pub(crate) callers: HashMap<request::Caller, request::Key>,
     pub(crate) claim_retries: Vec<(Time, request::Key)>,
     pub(crate) config: Option<Arc<Config>>,
+    /// Evidence against requests that crash their upstreams.
+    pub(crate) crash_suspects: CrashSuspects,
     /// Data centre that this instance runs in; empty if there is no preference.
     pub(crate) data_centre: Arc<str>,
     /// Requests that arrived before this instance had the state to serve them.
     pub(crate) deferred: Vec<DeferredRequest>,
     pub(crate) effects: Vec<Effect>,
+    pub(crate) expiry_checked_at: Time,
     pub(crate) hedge_budget: Budget,
     pub(crate) held_bytes: u64,
     pub(crate) instances: u32,
@@ -91,6 +94,10 @@
     pub(crate) now: Time,
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
     pub(crate) requests: SlotMap<request::Key, Request>,
+    /// When this process last resumed after a pause.
+    pub(crate) resumed_at: Time,
+    /// Notices of upstreams that are no longer listed.
+    pub(crate) retained_states: notice::RetainedStates,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) round_robin_index: usize,
     pub(crate) running_by_customer: HashMap<String, u32>,
@@ -98,19 +105,12 @@
     pub(crate) seed: u64,
     pub(crate) settings: Settings,
     /// Streams that other instances reported.
-    pub(crate) sightings: sighting::Sightings,
-    /// Notices of upstreams that are no longer listed.
-    pub(crate) retained_states: notice::RetainedStates,
+    pub(crate) stream_records: stream_record::StreamRecords,
     /// Whether all streams that were stored before its start have been reported.
     pub(crate) streams_restored: bool,
-    /// Evidence against requests that crash their upstreams.
-    pub(crate) crash_suspects: CrashSuspects,
-    pub(crate) expiry_checked_at: Time,
     pub(crate) upstreams: SlotMap<upstream::Key, Upstream>,
     /// Upstreams by incarnation; at most one of each name.
-    pub(crate) upstreams_by_incarnation: sighting::UpstreamsByIncarnation,
-    /// When this process last resumed after a pause.
-    pub(crate) resumed_at: Time,
+    pub(crate) upstreams_by_incarnation: stream_record::UpstreamsByIncarnation,
 }
 
 impl Core {
@@ -133,7 +133,7 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
-        self.sightings.advance(self.now);
+        self.stream_records.advance(self.now);
         if gap > self.settings.pause_ms {
             self.resume_after_pause(gap);
         }
@@ -170,7 +170,7 @@
             Event::PeerLimit { incarnation, rate } => self.apply_peer_limit(incarnation, rate),
             Event::PeerLoss(incarnation) => self.record_peer_loss(incarnation),
             Event::PeerSpeed(speed) => self.record_peer_speed(&speed),
-            Event::PeerStream(sighting) => self.record_peer_stream(sighting),
+            Event::PeerStream(stream_record) => self.record_peer_stream(stream_record),
             Event::PiggybackedLoad { attempt, load } => self.apply_piggybacked_load(attempt, load),
             Event::Probed { alive, upstream } => self.apply_probe_result(upstream, alive),
             Event::Replied {
@@ -205,9 +205,11 @@
             callers: HashMap::new(),
             claim_retries: Vec::new(),
             config: None,
+            crash_suspects: CrashSuspects::default(),
             data_centre: Arc::from(""),
             deferred: Vec::new(),
             effects: Vec::new(),
+            expiry_checked_at: now,
             hedge_budget: Budget::new(BUDGET_PERMITS, BUDGET_REFILL_PER_SECOND, now),
             held_bytes: 0,
             instances: 1,
@@ -218,20 +220,18 @@
             now,
             pools: BTreeMap::new(),
             requests: SlotMap::with_key(),
+            resumed_at: Time::default(),
+            retained_states: notice::RetainedStates::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             round_robin_index: 0,
             running_by_customer: HashMap::new(),
             secret,
             seed,
             settings,
-            sightings: sighting::Sightings::default(),
-            retained_states: notice::RetainedStates::default(),
+            stream_records: stream_record::StreamRecords::default(),
             streams_restored: true,
-            crash_suspects: CrashSuspects::default(),
-            expiry_checked_at: now,
             upstreams: SlotMap::with_key(),
             upstreams_by_incarnation: BTreeMap::new(),
-            resumed_at: Time::default(),
         }
     }
 
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -298,7 +298,7 @@
     /// Broadcast to other instances how fast the engines of a pool are.
     GossipSpeed(EngineSpeed),
     /// Broadcast the state of a relayed stream to other instances.
-    GossipStream(Sighting),
+    GossipStream(StreamRecord),
     /// Log a step in the life cycle of a request.
     LogRequest(RequestLog),
     /// Log that the status of an upstream changed.
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -208,7 +208,7 @@
     /// Another instance reported how fast the engines of a pool are.
     PeerSpeed(EngineSpeed),
     /// Another instance reported the state of a stream that it relays.
-    PeerStream(Sighting),
+    PeerStream(StreamRecord),
     /// A load report arrived with the tokens of a stream, and is as old as they are.
     PiggybackedLoad {
         /// The attempt.
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -115,7 +115,7 @@
             return;
         };
         self.log_step(&request, effect::Step::Failed(kind), None);
-        self.gossip_end(&request, sighting::Stage::Left);
+        self.gossip_end(&request, stream_record::Stage::Left);
         let pool = request.service.pool();
         if request.progress.is_open {
             self.count(Counter::Refused(kind));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -35,9 +35,9 @@
 pub mod role;
 pub mod roster;
 pub mod settings;
-pub mod sighting;
 pub mod staleness;
 pub mod store_calls;
+pub mod stream_record;
 pub mod upstream;
 
 mod admission;
@@ -88,7 +88,6 @@
     role::{Role, WatcherRank},
     roster::{Change, Roster, RosterUpdate, UpdateOutcome},
     settings::{QuarantineRule, ResumeMode, Routing, Settings},
-    sighting::Sighting,
     slotmap::{SecondaryMap, SlotMap, new_key_type},
     staleness::StalenessBound,
     std::{
@@ -99,6 +98,7 @@
         sync::Arc,
     },
     store_calls::StoreCalls,
+    stream_record::StreamRecord,
     suspicion::CrashSuspects,
     upstream::{Health, Load, Upstream},
     usage::{OwnUsage, Usage},
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -112,7 +112,7 @@
         self.record_activity(key);
         if first {
             self.record_prefill(key);
-            self.gossip_attempt(key, sighting::Stage::Streaming);
+            self.gossip_attempt(key, stream_record::Stage::Streaming);
         }
         let request = &mut self.requests[owner];
         let is_only_attempt = request.attempts == [key];
@@ -184,24 +184,27 @@
     }
 
     /// Records the state of a stream as reported by another instance.
-    pub(crate) fn record_peer_stream(&mut self, sighting: Sighting) {
-        let starts = sighting.stage == sighting::Stage::Started;
-        let upstream = sighting.upstream;
+    pub(crate) fn record_peer_stream(&mut self, stream_record: StreamRecord) {
+        let starts = stream_record.stage == stream_record::Stage::Started;
+        let upstream = stream_record.upstream;
         let upstream = upstream
             .and_then(|incarnation| self.upstreams_by_incarnation.get(&incarnation).copied());
-        let mut prefill_ms = sighting::DEFAULT_PREFILL_MS;
+        let mut prefill_ms = stream_record::DEFAULT_PREFILL_MS;
         if let Some(upstream) = upstream.filter(|_| starts) {
-            let ahead = self.sightings.usage(upstream).prefill_tokens;
+            let ahead = self.stream_records.usage(upstream).prefill_tokens;
             let name = self.upstreams[upstream].pool.clone();
             let pool = self.pools.entry(name).or_default();
             pool.estimates.record_stream_start(self.now);
-            if let Some(millis) = pool.estimates.known_prefill_ms(ahead + sighting.tokens) {
+            if let Some(millis) = pool
+                .estimates
+                .known_prefill_ms(ahead + stream_record.tokens)
+            {
                 prefill_ms = millis;
             }
         }
         let upstreams = &self.upstreams_by_incarnation;
-        self.sightings
-            .add(sighting, false, prefill_ms, upstreams, self.now);
+        self.stream_records
+            .add(stream_record, false, prefill_ms, upstreams, self.now);
     }
 
     /// Initial progress of a relayed request. A request that resumes a stream starts after the last
@@ -215,13 +218,13 @@
         if relay.position == 0 {
             return progress;
         }
-        if let Some(sighting) = self.sightings.get(relay.prompt) {
+        if let Some(stream_record) = self.stream_records.get(relay.prompt) {
             let find = |incarnation: Option<Incarnation>| {
                 self.upstreams_by_incarnation.get(&incarnation?).copied()
             };
-            progress.preferred_upstream = find(sighting.upstream);
-            progress.copy = find(sighting.backup).map(|upstream| request::KvCopy {
-                run: sighting.run.as_str().into(),
+            progress.preferred_upstream = find(stream_record.upstream);
+            progress.copy = find(stream_record.backup).map(|upstream| request::KvCopy {
+                run: stream_record.run.as_str().into(),
                 upstream,
             });
         }
@@ -263,7 +266,7 @@
         attempt.ahead_tokens = ahead_tokens;
         attempt.copy = copy.filter(|copy| copy.upstream == upstream);
         attempt.backup = backup;
-        self.gossip_attempt(key, sighting::Stage::Started);
+        self.gossip_attempt(key, stream_record::Stage::Started);
     }
 
     /// Handles a relayed attempt that ended without a response.
@@ -456,15 +459,15 @@
     }
 
     /// Announces a stream that is being sent or has begun to other instances.
-    fn gossip_attempt(&mut self, key: attempt::Key, stage: sighting::Stage) {
+    fn gossip_attempt(&mut self, key: attempt::Key, stage: stream_record::Stage) {
         let attempt = &self.attempts[key];
         let incarnation =
             |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.incarnation);
         let backup = attempt.backup.and_then(incarnation);
         let upstream = incarnation(attempt.upstream);
         if let Some(relay) = self.requests[attempt.request].work.relay() {
-            let sighting = relay.sighting(stage, upstream, backup);
-            self.gossip(sighting);
+            let stream_record = relay.stream_record(stage, upstream, backup);
+            self.gossip(stream_record);
         }
     }
 
@@ -472,32 +475,32 @@
     pub(crate) fn gossip_waiting(&mut self, key: request::Key) {
         let request = &self.requests[key];
         if let Some(relay) = request.work.relay() {
-            let mut sighting = relay.sighting(sighting::Stage::Waiting, None, None);
-            sighting.pool = request.service.pool().into();
-            self.gossip(sighting);
+            let mut stream_record = relay.stream_record(stream_record::Stage::Waiting, None, None);
+            stream_record.pool = request.service.pool().into();
+            self.gossip(stream_record);
         }
     }
 
     /// Announces to other instances that a stream ended, or that its caller left.
-    pub(crate) fn gossip_end(&mut self, request: &Request, stage: sighting::Stage) {
+    pub(crate) fn gossip_end(&mut self, request: &Request, stage: stream_record::Stage) {
         if let Some(relay) = request.work.relay() {
-            let sighting = relay.sighting(stage, None, None);
-            self.gossip(sighting);
+            let stream_record = relay.stream_record(stage, None, None);
+            self.gossip(stream_record);
         }
     }
 
-    fn gossip(&mut self, sighting: Sighting) {
-        if sighting.prompt == 0 {
+    fn gossip(&mut self, stream_record: StreamRecord) {
+        if stream_record.prompt == 0 {
             return;
         }
-        self.sightings.add(
-            sighting.clone(),
+        self.stream_records.add(
+            stream_record.clone(),
             true,
             0,
             &self.upstreams_by_incarnation,
             self.now,
         );
-        self.effects.push(Effect::GossipStream(sighting));
+        self.effects.push(Effect::GossipStream(stream_record));
     }
 
     /// Completes a relayed request: ends the caller's response with the effect that `last` creates.
@@ -526,7 +529,7 @@
                 .record_answer(request.progress.position, relay.max_answer_tokens);
         }
         self.log_step(&request, effect::Step::Answered, Some(upstream));
-        self.gossip_end(&request, sighting::Stage::Ended);
+        self.gossip_end(&request, stream_record::Stage::Ended);
         self.effects.push(last(request.caller));
         self.dispatch_queued(request.service.pool());
     }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -60,13 +60,13 @@
 
 impl Relay {
     /// Report for other instances about the request at a stage of processing.
-    pub fn sighting(
+    pub fn stream_record(
         &self,
-        stage: sighting::Stage,
+        stage: stream_record::Stage,
         upstream: Option<Incarnation>,
         backup: Option<Incarnation>,
-    ) -> Sighting {
-        Sighting {
+    ) -> StreamRecord {
+        StreamRecord {
             backup,
             pool: String::new(),
             prompt: self.prompt,
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -24,7 +24,7 @@
         }
         if let Some(request) = self.remove(key) {
             self.log_step(&request, effect::Step::Left, None);
-            self.gossip_end(&request, sighting::Stage::Left);
+            self.gossip_end(&request, stream_record::Stage::Left);
             self.dispatch_queued(request.service.pool());
         }
     }
--- a/crates/core/src/sighting.rs
+++ b/crates/core/src/stream_record.rs
@@ -41,7 +41,7 @@
 
 /// Record of a relayed stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Sighting {
+pub struct StreamRecord {
     /// Upstream that keeps a copy of its KV cache.
     pub backup: Option<Incarnation>,
     /// Name of the pool in whose queue it is; empty unless it is queued.
@@ -70,8 +70,8 @@
     is_own: bool,
     /// Estimated duration of its prefill, in milliseconds.
     prefill_ms: u64,
+    record: StreamRecord,
     reservation: Reservation,
-    sighting: Sighting,
     /// Upstream that runs it, if known here.
     upstream: Option<upstream::Key>,
 }
@@ -89,7 +89,7 @@
 /// Records by hash of the prompt, and the sum of their reservations. Sums are updated incrementally, so that the cost of a
 /// decision does not grow with the number of streams.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Sightings {
+pub(crate) struct StreamRecords {
     /// When reservations may change, with the hash of the prompt.
     due: BTreeSet<(Time, u64)>,
     entries: HashMap<u64, Entry>,
@@ -103,9 +103,9 @@
     /// Returns its reservation at `now`, and when that may change.
     fn reservation_at(&self, now: Time) -> (Reservation, Time) {
         let age = now.since(self.at);
-        let tokens = self.sighting.tokens;
+        let tokens = self.record.tokens;
         let resources = |is_prefilling| Reservation::Resources(Usage::new(is_prefilling, tokens));
-        let (reservation, until) = match self.sighting.stage {
+        let (reservation, until) = match self.record.stage {
             _ if self.is_own => (Reservation::Nothing, RETENTION_MS),
             Stage::Started if age < self.prefill_ms => (resources(true), self.prefill_ms),
             Stage::Started | Stage::Streaming if age < RUNNING_MS => (resources(false), RUNNING_MS),
@@ -116,43 +116,43 @@
     }
 }
 
-impl Sightings {
+impl StreamRecords {
     /// Adds a record from another instance, or from this one if `is_own` is set. The stream's prefill is assumed to take
     /// `prefill_ms`.
     pub fn add(
         &mut self,
-        sighting: Sighting,
+        record: StreamRecord,
         is_own: bool,
         prefill_ms: u64,
         upstreams: &UpstreamsByIncarnation,
         now: Time,
     ) {
-        match sighting.stage {
-            Stage::Ended => self.remove(sighting.prompt),
+        match record.stage {
+            Stage::Ended => self.remove(record.prompt),
             Stage::Left => {
-                if let Some(entry) = self.entries.get_mut(&sighting.prompt)
-                    && entry.sighting.run == sighting.run
+                if let Some(entry) = self.entries.get_mut(&record.prompt)
+                    && entry.record.run == record.run
                 {
-                    entry.sighting.stage = Stage::Left;
-                    self.update(sighting.prompt, now);
+                    entry.record.stage = Stage::Left;
+                    self.update(record.prompt, now);
                 }
             }
             Stage::Started | Stage::Streaming | Stage::Waiting => {
                 if self.entries.len() >= MAX_ENTRIES {
                     self.remove_older(now);
                 }
-                let prompt = sighting.prompt;
+                let prompt = record.prompt;
                 let find = |incarnation: Option<Incarnation>| upstreams.get(&incarnation?).copied();
                 self.remove(prompt);
                 let entry = Entry {
                     at: now,
-                    backup: find(sighting.backup),
+                    backup: find(record.backup),
                     expires_at: now,
                     is_own,
                     prefill_ms: prefill_ms.min(RUNNING_MS),
                     reservation: Reservation::Nothing,
-                    upstream: find(sighting.upstream),
-                    sighting,
+                    upstream: find(record.upstream),
+                    record,
                 };
                 self.entries.insert(prompt, entry);
                 self.update(prompt, now);
@@ -182,14 +182,14 @@
             .entries
             .iter()
             .filter(|(_, entry)| {
-                entry.sighting.upstream == incarnation || entry.sighting.backup == incarnation
+                entry.record.upstream == incarnation || entry.record.backup == incarnation
             })
             .map(|(prompt, _)| *prompt)
             .collect();
         for prompt in affected {
             self.release(prompt);
             if let Some(entry) = self.entries.get_mut(&prompt) {
-                if entry.sighting.upstream == incarnation {
+                if entry.record.upstream == incarnation {
                     entry.upstream = Some(key);
                 } else {
                     entry.backup = Some(key);
@@ -200,8 +200,8 @@
     }
 
     /// Last record of a prompt.
-    pub fn get(&self, prompt: u64) -> Option<&Sighting> {
-        self.entries.get(&prompt).map(|entry| &entry.sighting)
+    pub fn get(&self, prompt: u64) -> Option<&StreamRecord> {
+        self.entries.get(&prompt).map(|entry| &entry.record)
     }
 
     /// Estimated usage of an upstream by streams of other instances.
@@ -234,7 +234,7 @@
                 }
             }
             Reservation::QueueSlot => {
-                let pool = entry.sighting.pool.clone();
+                let pool = entry.record.pool.clone();
                 self.waiting
                     .entry(pool)
                     .or_default()
@@ -258,7 +258,7 @@
                 }
             }
             Reservation::QueueSlot => {
-                if let Some(waiting) = self.waiting.get_mut(&entry.sighting.pool) {
+                if let Some(waiting) = self.waiting.get_mut(&entry.record.pool) {
                     waiting.remove(&(entry.at, prompt));
                 }
             }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -84,7 +84,7 @@
 
     /// Estimated usage of an upstream by this instance and others.
     pub(crate) fn usage(&self, own: &OwnUsage, key: upstream::Key) -> Usage {
-        let mut usage = self.sightings.usage(key);
+        let mut usage = self.stream_records.usage(key);
         usage.add(own.0.get(key).copied().unwrap_or_default());
         usage
     }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -313,7 +313,7 @@
             unreported: 0,
             version: entry.version.as_str().into(),
         });
-        self.sightings.resolve(incarnation, key, self.now);
+        self.stream_records.resolve(incarnation, key, self.now);
         self.upstreams_by_incarnation.insert(incarnation, key);
         self.pools.entry(pool).or_default().upstreams.push(key);
         self.log_status_change(key, effect::StatusChange::New);
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -204,13 +204,13 @@
 
     /// Reports a stream that is queued at another instance.
     pub fn add_peer_waiting(&mut self, prompt: u64) {
-        self.handle(Event::PeerStream(Sighting {
+        self.handle(Event::PeerStream(StreamRecord {
             backup: None,
             pool: "pool".into(),
             prompt,
             stage: Stage::Waiting,
             upstream: None,
-            ..sighting(0, 0)
+            ..stream_record(0, 0)
         }));
     }
 
@@ -387,8 +387,8 @@
     Incarnation::new(&format!("runner-{upstream}"), born)
 }
 
-pub fn sighting(upstream: usize, backup: usize) -> Sighting {
-    Sighting {
+pub fn stream_record(upstream: usize, backup: usize) -> StreamRecord {
+    StreamRecord {
         backup: Some(incarnation(backup, 0)),
         pool: String::new(),
         prompt: 77,
--- a/crates/core/tests/relay/capacity.rs
+++ b/crates/core/tests/relay/capacity.rs
@@ -124,10 +124,10 @@
     test.add_peer_waiting(2);
     test.request(STREAM);
     expect_that!(test.sent(), is_empty());
-    test.handle(Event::PeerStream(Sighting {
+    test.handle(Event::PeerStream(StreamRecord {
         prompt: 1,
         stage: Stage::Left,
-        ..sighting(0, 0)
+        ..stream_record(0, 0)
     }));
     test.advance(10);
     expect_that!(test.sent().len(), eq(1));
@@ -148,8 +148,8 @@
     let mut test = Test::new(1);
     test.burst(3);
     let waits = |effect: &&Effect| match effect {
-        Effect::GossipStream(sighting) => {
-            sighting.stage == Stage::Waiting && sighting.pool == "pool"
+        Effect::GossipStream(stream_record) => {
+            stream_record.stage == Stage::Waiting && stream_record.pool == "pool"
         }
         _ => false,
     };
@@ -226,7 +226,7 @@
     test.request(NON_REPEATABLE);
     test.request_as("key", STREAM, 9);
     expect_that!(test.sent().len(), eq(1));
-    test.handle(Event::PeerStream(sighting(1, 4)));
+    test.handle(Event::PeerStream(stream_record(1, 4)));
     test.handle(Event::StreamsRestored);
     expect_that!(test.last_sent().copy, some(eq("run-before")));
 }
--- a/crates/core/tests/relay/fleet.rs
+++ b/crates/core/tests/relay/fleet.rs
@@ -96,10 +96,10 @@
         test.handle(Event::Instances(View::numbered(0, u64::from(instances))));
         // All but four upstreams are known to be busy.
         for upstream in 4..60 {
-            test.handle(Event::PeerStream(Sighting {
+            test.handle(Event::PeerStream(StreamRecord {
                 prompt: 1_000 + upstream as u64,
                 stage: Stage::Started,
-                ..sighting(upstream, upstream)
+                ..stream_record(upstream, upstream)
             }));
         }
         test.request(STREAM);
--- a/crates/core/tests/relay/incarnation.rs
+++ b/crates/core/tests/relay/incarnation.rs
@@ -29,10 +29,10 @@
 #[gtest]
 fn copy_at_a_former_incarnation_is_not_resumed_from() {
     let mut test = started_at_5(6);
-    test.handle(Event::PeerStream(Sighting {
+    test.handle(Event::PeerStream(StreamRecord {
         backup: Some(incarnation(4, 5)),
         upstream: Some(incarnation(1, 5)),
-        ..sighting(1, 4)
+        ..stream_record(1, 4)
     }));
     let mut listed: Vec<ListEntry> = (0..6).map(|index| listed_since(index, 5)).collect();
     listed[4] = listed_since(4, 9);
@@ -135,12 +135,12 @@
 fn load_of_a_former_incarnation_does_not_count_for_the_next() {
     let mut test = started_at_5(2);
     for prompt in 0..8 {
-        test.handle(Event::PeerStream(Sighting {
+        test.handle(Event::PeerStream(StreamRecord {
             backup: None,
             prompt: 1_000 + prompt,
             stage: Stage::Started,
             upstream: Some(incarnation(0, 5)),
-            ..sighting(0, 0)
+            ..stream_record(0, 0)
         }));
     }
     test.request(STREAM);
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -20,7 +20,7 @@
         quarantine::{CrashHistory, Involvement},
         request::{Caller, Relay, Work},
         settings::{CapacityLimits, ResumeMode, Settings},
-        sighting::{Sighting, Stage},
+        stream_record::{Stage, StreamRecord},
         upstream::{self, Load},
     },
 };
@@ -436,7 +436,7 @@
 #[gtest]
 fn reconnecting_caller_resumes_from_the_reported_copy() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
+    test.handle(Event::PeerStream(stream_record(1, 4)));
     test.request_as("key", STREAM, 9);
     let sent = test.last_sent();
     expect_that!(sent.upstream, eq(4));
@@ -447,7 +447,7 @@
 #[gtest]
 fn reconnecting_caller_falls_back_to_the_upstream_that_ran_the_stream() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
+    test.handle(Event::PeerStream(stream_record(1, 4)));
     test.request_as("key", STREAM, 9);
     let sent = test.last_sent();
     test.fail(&sent, Failure::Refused);
@@ -459,10 +459,10 @@
 #[gtest]
 fn stream_reported_as_ended_is_not_resumed_from_its_copy() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
-    let ended = Sighting {
+    test.handle(Event::PeerStream(stream_record(1, 4)));
+    let ended = StreamRecord {
         stage: Stage::Ended,
-        ..sighting(1, 4)
+        ..stream_record(1, 4)
     };
     test.handle(Event::PeerStream(ended));
     test.request_as("key", STREAM, 9);
@@ -472,12 +472,12 @@
 #[gtest]
 fn stream_reported_as_left_can_still_be_resumed() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
-    let left = Sighting {
+    test.handle(Event::PeerStream(stream_record(1, 4)));
+    let left = StreamRecord {
         backup: None,
         stage: Stage::Left,
         upstream: None,
-        ..sighting(1, 4)
+        ..stream_record(1, 4)
     };
     test.handle(Event::PeerStream(left));
     test.request_as("key", STREAM, 9);
@@ -488,10 +488,10 @@
 fn streams_of_other_instances_count_as_load() {
     let mut test = Test::new(2);
     for prompt in 0..4 {
-        test.handle(Event::PeerStream(Sighting {
+        test.handle(Event::PeerStream(StreamRecord {
             prompt: 1_000 + prompt,
             stage: Stage::Started,
-            ..sighting(0, 9)
+            ..stream_record(0, 9)
         }));
     }
     test.request(STREAM);
--- a/crates/core/tests/relay/version.rs
+++ b/crates/core/tests/relay/version.rs
@@ -83,10 +83,10 @@
 #[gtest]
 fn copy_at_another_version_is_not_resumed_from() {
     let mut test = with_new_version();
-    test.handle(Event::PeerStream(Sighting {
+    test.handle(Event::PeerStream(StreamRecord {
         backup: Some(incarnation(8, 0)),
         upstream: Some(incarnation(7, 0)),
-        ..sighting(7, 8)
+        ..stream_record(7, 8)
     }));
     test.request_as("key", STREAM, 9);
     expect_that!(test.last_sent().upstream, lt(6));
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -72,7 +72,7 @@
     /// Changes of the list of upstreams; told within the data centre.
     Roster(RosterUpdate),
     /// A stream is relayed.
-    Stream(Sighting),
+    Stream(StreamRecord),
 }
 
 /// What the tasks need.
@@ -636,7 +636,7 @@
     }
 }
 
-fn decode(sighting: peers::Sighting) -> Sighting {
+fn decode(sighting: peers::Sighting) -> StreamRecord {
     let stage = match sighting.stage() {
         peers::Stage::Ended => Stage::Ended,
         peers::Stage::Left => Stage::Left,
@@ -644,7 +644,7 @@
         peers::Stage::Streaming => Stage::Streaming,
         peers::Stage::Waiting => Stage::Waiting,
     };
-    Sighting {
+    StreamRecord {
         backup: sighting.backup.map(decode_life),
         pool: sighting.pool,
         prompt: sighting.prompt,
@@ -656,7 +656,7 @@
 }
 
 /// A sighting as others are told it. Of a stream that is whole they need to know its prompt only.
-fn encode(sighting: Sighting) -> peers::Sighting {
+fn encode(sighting: StreamRecord) -> peers::Sighting {
     if sighting.stage == Stage::Ended {
         return peers::Sighting {
             prompt: sighting.prompt,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -104,7 +104,7 @@
         kind::{Kind, Ran},
         position::Position,
         request::{self, Caller, Work},
-        sighting::{Sighting, Stage},
+        stream_record::{Stage, StreamRecord},
         upstream::{self, Load},
     },
     wellplank_platform as platform,
--- a/crates/standin/src/placing.rs
+++ b/crates/standin/src/placing.rs
@@ -14,7 +14,7 @@
     position::Position,
     request::{Caller, Relay},
     settings::Settings,
-    sighting::{Sighting, Stage},
+    stream_record::{Stage, StreamRecord},
 };
 
 /// Start of virtual time.
@@ -61,9 +61,9 @@
     }
 }
 
-fn sighting(prompt: u64, upstreams: usize) -> Sighting {
+fn sighting(prompt: u64, upstreams: usize) -> StreamRecord {
     let at = prompt as usize % upstreams;
-    Sighting {
+    StreamRecord {
         backup: Some(Incarnation::new(
             &format!("engine-{}", (at + 1) % upstreams),
             0,
