--- a/crates/core/src/availability.rs
+++ b/crates/core/src/availability.rs
@@ -1,7 +1,7 @@
 //! Outages of the key-value store, inferred from how all calls of an instance end.
 //!
 //! Entries of upstreams disappear when these leave, and also when the store is down for so long that their leases
-//! expire. The former must get no more work soon; the latter are still alive. A single task's calls can not tell the
+//! expire. The former must get no more work soon; the latter are still alive. A single task's calls cannot tell the
 //! two apart: a watch may be cut while the store answers everybody, and another may outlast an outage.
 
 use super::*;
@@ -232,7 +232,7 @@
     }
 
     /// Records a call that failed or was refused. `unanswered` is when the store did not answer it: now if it was
-    /// refused, the start of its time-out otherwise. A call that the store accepted before it answered another one
+    /// refused, the start of its timeout otherwise. A call that the store accepted before it answered another one
     /// says nothing about the time since: entries of upstreams that had left would be kept as after a second outage,
     /// and leaving upstreams would get work meanwhile.
     pub fn record_failure(&mut self, unanswered: Time, now: Time) {
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -15,11 +15,11 @@
     capacity: f64,
     /// Minimum capacity in permits, and the maximum that may be owed.
     capacity_min: f64,
-    last: Time,
     level: f64,
     /// Part of capacity and refill that this instance may use, from 0 to 1.
     part: f64,
     refill_per_second: f64,
+    refilled_at: Time,
 }
 
 impl Budget {
@@ -34,10 +34,10 @@
         Self {
             capacity,
             capacity_min: 1.0,
-            last: now,
             level: capacity,
             part: 1.0,
             refill_per_second,
+            refilled_at: now,
         }
     }
 
@@ -50,8 +50,9 @@
 
     /// Takes a permit; if the bucket is empty, takes nothing and returns false.
     pub fn spend(&mut self, now: Time) -> bool {
-        let earned = now.since(self.last) as f64 / 1000.0 * self.refill_per_second * self.part;
-        self.last = now;
+        let earned =
+            now.since(self.refilled_at) as f64 / 1000.0 * self.refill_per_second * self.part;
+        self.refilled_at = now;
         self.earn(earned);
         if self.level + self.capacity_min <= 1.0 {
             return false;
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -63,7 +63,7 @@
         let Some(need) = Need::of(request).filter(|_| request.position() == 0) else {
             return candidates;
         };
-        let room = self.settings.room;
+        let limits = self.settings.room;
         let is_late = self.is_late(request);
         candidates.retain(|key| {
             if self.now < self.upstreams[*key].full_until {
@@ -71,10 +71,10 @@
             }
             let usage = self.usage(own, *key);
             if is_late {
-                return need.fits(usage, room.late_fill) && usage.prefilling == 0;
+                return need.fits(usage, limits.late_fill) && usage.prefilling == 0;
             }
-            let may_prefill = room.reading == 0 || usage.prefilling < room.reading;
-            may_prefill && need.fits(usage, room.fill) && self.starts_in_time(request, usage)
+            let may_prefill = limits.reading == 0 || usage.prefilling < limits.reading;
+            may_prefill && need.fits(usage, limits.fill) && self.starts_in_time(request, usage)
         });
         let before = if is_late {
             self.now
@@ -83,7 +83,7 @@
         };
         let pool = request.service.pool();
         let ahead = self.stream_records.waiting(pool, before);
-        if ahead > 0 && room.turns {
+        if ahead > 0 && limits.turns {
             let stream_capacity =
                 |key: &upstream::Key| self.stream_capacity(need, self.usage(own, *key));
             if candidates.iter().map(stream_capacity).sum::<usize>() <= ahead {
@@ -108,11 +108,11 @@
 
     /// Number of streams with this need that an upstream with this usage has capacity for.
     fn stream_capacity(&self, need: Need, usage: Usage) -> usize {
-        let room = self.settings.room;
-        let free = room.fill * need.memory - f64::from(usage.tokens);
+        let limits = self.settings.room;
+        let free = limits.fill * need.memory - f64::from(usage.tokens);
         let by_memory = (free / f64::from(need.tokens)) as usize;
-        let prefills = room.reading.saturating_sub(usage.prefilling) as usize;
-        match (room.fill > 0.0, room.reading > 0) {
+        let prefills = limits.reading.saturating_sub(usage.prefilling) as usize;
+        match (limits.fill > 0.0, limits.reading > 0) {
             (true, true) => by_memory.max(1).min(prefills),
             (true, false) => by_memory.max(1),
             (false, true) => prefills,
@@ -131,9 +131,9 @@
         let Some(need) = Need::of(request) else {
             return candidates;
         };
-        let room = self.settings.room;
-        let placeable = self.relay_candidates(request);
-        let used: u32 = placeable
+        let limits = self.settings.room;
+        let all_candidates = self.relay_candidates(request);
+        let used: u32 = all_candidates
             .iter()
             .map(|key| self.usage(own, *key).tokens)
             .sum();
@@ -141,21 +141,21 @@
             tokens: used,
             ..Usage::default()
         };
-        let whole = Need {
-            memory: need.memory * placeable.len() as f64,
+        let pool_need = Need {
+            memory: need.memory * all_candidates.len() as f64,
             ..need
         };
-        if !whole.fits(all, room.copy_fill) {
+        if !pool_need.fits(all, limits.copy_fill) {
             return Vec::new();
         }
-        candidates.retain(|key| need.fits(self.usage(own, *key), room.fill));
+        candidates.retain(|key| need.fits(self.usage(own, *key), limits.fill));
         candidates
     }
 
     /// Whether no upstream has capacity for a request.
     pub(crate) fn lacks_capacity(&self, request: &Request) -> bool {
-        let placeable = self.relay_candidates(request);
-        self.upstreams_with_capacity(request, placeable, &self.own_usage())
+        let candidates = self.relay_candidates(request);
+        self.upstreams_with_capacity(request, candidates, &self.own_usage())
             .is_empty()
     }
 
@@ -208,8 +208,8 @@
             return Ok(());
         }
         let queued_streams = self.queued_streams(request.service.pool());
-        let placeable = self.relay_candidates(request);
-        if placeable.is_empty() || (queued_streams == 0 && !self.lacks_capacity(request)) {
+        let candidates = self.relay_candidates(request);
+        if candidates.is_empty() || (queued_streams == 0 && !self.lacks_capacity(request)) {
             return Ok(());
         }
         let shortage_ms = self.record_shortage(request);
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -27,7 +27,7 @@
     pub fingerprint: u64,
     /// Hash of the key and the customer's name, so that customers' keys do not collide.
     pub key: u128,
-    /// Random number of this submission, which shows whose claim was stored if an answer is lost.
+    /// Random number of this submission, which shows whose claim was stored if an answer of the store is lost.
     pub nonce: u64,
     /// Timestamp in the caller's key.
     pub stamp: Time,
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -110,9 +110,9 @@
     pub objective_ms: u64,
     /// Name of the pool in the list of upstreams.
     pub pool: String,
-    /// Whether another upstream can continue an answer after any of its events.
+    /// Whether another upstream can continue a response after any of its events.
     pub resumable: bool,
-    /// Whether the answer is an event stream.
+    /// Whether the response is an event stream.
     pub streams: bool,
 }
 
@@ -150,7 +150,7 @@
         /// Model that must be loaded.
         model: Arc<Model>,
     },
-    /// Requests and answers are relayed unchanged.
+    /// Requests and responses are relayed unchanged.
     Relay(Relay),
 }
 
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Whether relayed answers are event streams.
+    /// Whether relayed responses are event streams.
     pub fn streams(&self) -> bool {
         self.relay().is_some_and(|relay| relay.streams)
     }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// A request that arrived before this instance had the state that serving it takes.
+/// A request that arrived before this instance had the state to serve it.
 #[derive(Clone, Debug)]
 pub(crate) struct DeferredRequest {
     /// When it arrived.
@@ -80,6 +80,7 @@
     /// Requests that arrived before this instance had the state to serve them.
     pub(crate) deferred: Vec<DeferredRequest>,
     pub(crate) effects: Vec<Effect>,
+    /// When requests were last checked for expiry.
     pub(crate) expiry_checked_at: Time,
     pub(crate) hedge_budget: Budget,
     pub(crate) held_bytes: u64,
@@ -170,7 +171,7 @@
             Event::PeerLimit { incarnation, rate } => self.apply_peer_limit(incarnation, rate),
             Event::PeerLoss(incarnation) => self.record_peer_loss(incarnation),
             Event::PeerSpeed(speed) => self.record_peer_speed(&speed),
-            Event::PeerStream(stream_record) => self.record_peer_stream(stream_record),
+            Event::PeerStream(record) => self.record_peer_stream(record),
             Event::PiggybackedLoad { attempt, load } => self.apply_piggybacked_load(attempt, load),
             Event::Probed { alive, upstream } => self.apply_probe_result(upstream, alive),
             Event::Replied {
--- a/crates/core/src/counter.rs
+++ b/crates/core/src/counter.rs
@@ -30,11 +30,11 @@
     PeerLimit,
     /// Responses in which the upstream announced that it is leaving.
     NoticeLeaving,
-    /// Responses in which the upstream named a rate limit.
+    /// Responses in which the upstream announced a rate limit.
     NoticeLimit,
     /// Responses with an unparsable backoff time or rate limit.
     NoticeInvalid,
-    /// Responses in which the upstream asked for a backoff.
+    /// Responses in which the upstream requested a backoff.
     NoticeBackoff,
     /// Responses with an unknown notice from the upstream.
     NoticeUnknown,
--- a/crates/core/src/cursor.rs
+++ b/crates/core/src/cursor.rs
@@ -1,4 +1,4 @@
-//! Cursors with which a caller resumes an interrupted answer on any instance.
+//! Cursors with which a caller resumes an interrupted response on any instance.
 
 use super::*;
 
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -161,7 +161,7 @@
     load: f64,
     /// Latency objective of the last call in milliseconds.
     objective_ms: f64,
-    others: HashMap<SocketAddr, PeerDemand>,
+    peers: HashMap<SocketAddr, PeerDemand>,
     retries: Rate,
     /// Number of samples in the service time.
     samples: f64,
@@ -202,7 +202,7 @@
             last_call: None,
             load: 0.0,
             objective_ms: 0.0,
-            others: HashMap::new(),
+            peers: HashMap::new(),
             retries: Rate::default(),
             samples: 0.0,
             service_time_ms: 0.0,
@@ -220,12 +220,12 @@
             running: demand.running,
             service_time_ms: demand.service_time_ms,
         };
-        self.others.insert(from, peer);
+        self.peers.insert(from, peer);
     }
 
     /// Whether any instance has reported a call for this pool.
     fn is_known(&self) -> bool {
-        self.arrivals.level + self.retries.level > 0.0 || !self.others.is_empty()
+        self.arrivals.level + self.retries.level > 0.0 || !self.peers.is_empty()
     }
 
     /// Records the duration of a call that did not queue at the service.
@@ -251,7 +251,7 @@
     /// Estimates the demand of all instances, including this one with `running` calls of its own.
     /// Instances that have not reported are assumed to be like those that have.
     fn total(&self, running: u32, instances: u32, now: Time) -> FleetDemand {
-        let recent = self.others.values();
+        let recent = self.peers.values();
         let recent = recent.filter(|peer| now.since(peer.at) < STALE_MS);
         let mut reports = 0;
         let mut others = FleetDemand::default();
@@ -450,7 +450,7 @@
         })
     }
 
-    /// Sends this instance's demand to other instances.
+    /// Gossips this instance's demand to other instances.
     pub(crate) fn gossip_demand(&mut self) {
         let now = self.now;
         let due = |pool: &core::Pool| now.since(pool.demand.broadcast_at) >= GOSSIP_INTERVAL_MS;
@@ -473,7 +473,7 @@
             let is_full = pool.demand.load >= FULL_UTILIZATION;
             let last_call = pool.demand.last_call.take().filter(|_| is_full);
             pool.demand
-                .others
+                .peers
                 .retain(|_, peer| now.since(peer.at) < STALE_MS);
             let demand = Demand {
                 arrival_rate: pool.demand.arrivals.per_second(now),
@@ -536,16 +536,16 @@
         }
     }
 
-    /// Number of listed slots of a pool's upstreams that accept work. An upstream that names a rate
-    /// limit counts with the slots that calls at its rate keep busy.
+    /// Number of listed slots of a pool's upstreams that accept work. An upstream that announces a
+    /// rate limit counts with the slots that calls at its rate keep busy.
     fn slots(&self, pool: &core::Pool, service_time_ms: f64) -> f64 {
         let slots = |upstream: &Upstream| {
             let listed = f64::from(upstream.listed_slots);
             let busy =
-                |part: limit::TokenBucket| part.rate().per_second() * service_time_ms / 1_000.0;
+                |bucket: limit::TokenBucket| bucket.rate().per_second() * service_time_ms / 1_000.0;
             upstream
                 .limit_bucket
-                .map_or(listed, |part| busy(part).min(listed))
+                .map_or(listed, |bucket| busy(bucket).min(listed))
         };
         self.upstreams_of(pool)
             .filter(|upstream| upstream.health == Health::Live && upstream.in_subset)
--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -1,11 +1,11 @@
-//! Rolling digest of the tokens of an answer.
+//! Rolling digest of the tokens of a response.
 
 /// Digest of all tokens from position 0 on: 16 bytes of BLAKE3, chained token by token.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
-    /// The digest of `tokens` from the start of an answer.
+    /// The digest of `tokens` from the start of a response.
     pub fn of(tokens: &[u32]) -> Self {
         tokens
             .iter()
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -57,7 +57,7 @@
         adapter: String,
         /// How long the engine keeps the stream without a reader, in milliseconds.
         linger_ms: u64,
-        /// Maximum number of tokens in the whole answer.
+        /// Maximum number of tokens in the whole response.
         max_tokens: u32,
         /// Model.
         model: Arc<config::Model>,
@@ -75,7 +75,7 @@
 /// Step in the life cycle of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// The answer is complete.
+    /// The response is complete.
     Answered,
     /// The request was re-attached to its running stream.
     Attached,
@@ -83,7 +83,7 @@
     Failed(Kind),
     /// The caller disconnected.
     Left,
-    /// An attempt ended without a complete answer.
+    /// An attempt ended without a complete response.
     Lost(counter::Reason),
     /// The request was sent to an upstream.
     Sent {
@@ -101,13 +101,13 @@
 /// Change in the status of an upstream, as this instance sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatusChange {
-    /// It asked for a period without requests from this instance.
+    /// It requested a backoff from this instance.
     BackedOff,
     /// It is no longer listed and runs nothing.
     Gone,
     /// Its version differs from the one in force, so it receives no requests.
     Held,
-    /// It is draining.
+    /// It is leaving.
     Leaving,
     /// It announced a rate limit that all instances share.
     Limited,
@@ -256,7 +256,7 @@
     Finish {
         /// The caller.
         caller: request::Caller,
-        /// Number of tokens in the answer.
+        /// Number of tokens in the response.
         position: u32,
         /// Finish reason given by the engine.
         reason: String,
@@ -276,10 +276,10 @@
     GossipDemand {
         /// The demand.
         demand: Demand,
-        /// Whether the pool is close to its capacity, so that others need the update soon.
+        /// Whether the pool is at its capacity, so that all instances need the update at once.
         urgent: bool,
     },
-    /// Broadcast to other instances that an upstream is draining.
+    /// Broadcast to other instances that an upstream is leaving.
     GossipLeaving {
         /// Its incarnation.
         incarnation: Incarnation,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// One token of an answer.
+/// One token of a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OutputToken {
     /// Token id.
@@ -16,7 +16,7 @@
 pub enum Failure {
     /// The connection broke, or the response was malformed, after bytes may have been sent.
     Broken,
-    /// The upstream refused the request without running it, because it is draining.
+    /// The upstream refused the request without running it, because it is leaving.
     Leaving,
     /// No connection could be established; nothing was sent.
     NotSent,
@@ -56,7 +56,7 @@
 pub struct Submission {
     /// The caller's connection.
     pub caller: request::Caller,
-    /// Encoded cursor of an earlier connection; `None` unless the caller resumes an answer.
+    /// Encoded cursor of an earlier connection; `None` unless the caller resumes a response.
     pub cursor: Option<Vec<u8>>,
     /// Digest of the customer's API key.
     pub customer: String,
@@ -92,7 +92,7 @@
     pub born: u64,
     /// Data centre that it runs in.
     pub data_centre: String,
-    /// Whether it is draining.
+    /// Whether it is leaving: it takes no new requests and ends after the running ones.
     pub leaving: bool,
     /// Unique name.
     pub name: String,
@@ -144,7 +144,7 @@
     },
     /// Another instance, or the store, reported crashes of upstreams.
     CrashReported(Box<CrashHistory>),
-    /// An attempt ended without a complete answer.
+    /// An attempt ended without a complete response.
     Failed {
         /// The attempt.
         attempt: attempt::Key,
@@ -155,14 +155,14 @@
     GenerationFinished {
         /// The attempt.
         attempt: attempt::Key,
-        /// Number of tokens in the whole answer.
+        /// Number of tokens in the whole response.
         position: u32,
         /// Finish reason given by the engine.
         reason: String,
     },
     /// The set of instances changed.
     Instances(View),
-    /// An upstream is draining, according to the list, a peer or the upstream itself.
+    /// An upstream is leaving, according to the list, a peer or the upstream itself.
     Leaving(String),
     /// The platform's list was read.
     List {
@@ -194,7 +194,7 @@
         /// Address that the instance listens on.
         from: SocketAddr,
     },
-    /// Another instance was told by an upstream that it is draining.
+    /// An upstream announced to another instance that it is leaving.
     PeerLeaving(Incarnation),
     /// Another instance reported the rate limit of an upstream.
     PeerLimit {
@@ -261,7 +261,7 @@
     Tokens {
         /// The attempt.
         attempt: attempt::Key,
-        /// Position of the first token in the whole answer.
+        /// Position of the first token in the whole response.
         position: u32,
         /// The tokens.
         tokens: Vec<OutputToken>,
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl Core {
-    /// Handles an attempt that ended without a complete answer.
+    /// Handles an attempt that ended without a complete response.
     pub(crate) fn handle_failure(&mut self, key: attempt::Key, failure: Failure) {
         let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
@@ -134,8 +134,8 @@
         let retry_after_ms = kind.answer().retry.then(|| match request.work {
             Work::Relay(_) => self.retry_after_ms(&request),
             Work::Call { .. } | Work::Generate { .. } => {
-                let rest = self.backoff_retry_after_ms(&request);
-                rest.unwrap_or_else(|| {
+                let backoff_ms = self.backoff_retry_after_ms(&request);
+                backoff_ms.unwrap_or_else(|| {
                     self.queue_retry_after_ms(pool, request.service.priority, &request.customer)
                 })
             }
--- a/crates/core/src/informer.rs
+++ b/crates/core/src/informer.rs
@@ -757,11 +757,11 @@
             }
         }
         let pending = store_calls::PendingCall {
-            began: now,
             confirms,
             id: call.id,
             is_incremental: since.is_some(),
             is_watch: wait_ms > 0,
+            started_at: now,
         };
         self.topic_calls_mut(topic).pending = Some(pending);
         self.calls.insert(call.id, call);
--- a/crates/core/src/informer_io.rs
+++ b/crates/core/src/informer_io.rs
@@ -46,7 +46,7 @@
     Configuration {
         /// Size in bytes.
         bytes: usize,
-        /// The configuration; `None` if there is none or it can not be parsed.
+        /// The configuration; `None` if there is none or it cannot be parsed.
         config: Option<Arc<Config>>,
     },
     /// Upstreams, or their changes, in order of their positions.
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -17,7 +17,7 @@
     NoWorkBeyondLimit,
     /// An upstream that is leaving was given new work.
     NoWorkWhenLeaving,
-    /// An upstream that asked for a backoff was given new work.
+    /// An upstream that requested a backoff was given new work.
     NoWorkInBackoff,
     /// A request that was refused as not run had been sent.
     NotRunIsTrue,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,9 @@
 //!
 //! [`core::Core`] takes one [`event::Event`] at a time together with the current [`clock::Time`]
 //! and answers with a list of [`effect::Effect`]. It reads no clock, opens no socket and starts no
-//! thread, so the same settings, seed and events always give the same effects.
+//! thread, so the same settings, seed and events always give the same effects. The driver, in
+//! another crate, delivers the events and carries out the effects. Its edge accepts the callers'
+//! connections, and holds the bytes of relayed requests and responses, which the core never sees.
 
 pub mod attempt;
 pub mod availability;
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -37,7 +37,7 @@
     None,
     /// Limit on the requests from all instances together.
     Rate(Rate),
-    /// The response says nothing about the upstream that was asked.
+    /// The response says nothing about the upstream that it was requested from.
     #[default]
     Unknown,
 }
@@ -45,7 +45,7 @@
 /// This instance's share of an upstream's rate limit, as a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    /// When this or another instance last told its peers.
+    /// When this or another instance last announced the limit to its peers.
     announced_at: Time,
     /// When a response last confirmed the limit here; initially, when it became known.
     confirmed_at: Time,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Applies a limit that the upstream announced to this instance, and tells the peers.
+    /// Applies a limit from a response to this instance, and announces it to the peers.
     fn apply_own_limit(&mut self, key: upstream::Key, rate: Rate) {
         let is_changed = self.set_limit(key, rate);
         let (now, incarnation) = (self.now, self.upstreams[key].incarnation);
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,6 +1,6 @@
 //! Recent views of the fleet's members, and the election of the few instances that perform a task.
 //!
-//! Instances hear of others at different times, so two of them may elect different ones for a while. An instance acts
+//! Instances learn of others at different times, so two of them may elect different ones for a while. An instance acts
 //! only if every view within the convergence time elects it; so it is elected by a view that all share, and never more
 //! instances act than are to be elected.
 
@@ -12,7 +12,7 @@
 /// The members of the fleet at one time.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Time within which all instances hear of a change, in milliseconds.
+    /// Time within which all instances learn of a change, in milliseconds.
     pub convergence_ms: u64,
     /// Identifiers of the other instances.
     pub others: Vec<u64>,
@@ -71,13 +71,13 @@
 }
 
 impl Core {
-    /// Records another view of the fleet and divides the upstreams' limits anew.
+    /// Records another view of the fleet and recomputes the shares of the upstreams' rate limits.
     pub(crate) fn update_members(&mut self, view: View) {
         self.instances = view.count();
         self.members.record_view(view, self.now);
         let limited = |(key, upstream): (upstream::Key, &Upstream)| {
-            let part = upstream.limit_bucket.as_ref()?;
-            Some((key, part.rate()))
+            let bucket = upstream.limit_bucket.as_ref()?;
+            Some((key, bucket.rate()))
         };
         let limited: Vec<_> = self.upstreams.iter().filter_map(limited).collect();
         for (key, rate) in limited {
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -6,11 +6,11 @@
 use super::*;
 use limit::Rate;
 
-/// Longest accepted back-off, in milliseconds: one hour. An upstream that wants no requests for longer announces that it
+/// Longest accepted backoff, in milliseconds: one hour. An upstream that wants no requests for longer announces that it
 /// is leaving; a value in the wrong unit must not exclude one for good.
 const MAX_BACKOFF_MS: u64 = 3_600_000;
 
-/// Fraction of a back-off, as a divisor, by which its end is randomized. Instances that were refused at the same moment,
+/// Fraction of a backoff, as a divisor, by which its end is randomized. Instances that were refused at the same moment,
 /// and callers that these refuse, must not all return at the same moment.
 const JITTER_DIVISOR: u64 = 10;
 
@@ -25,9 +25,9 @@
 /// State of an upstream as announced in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Back-off requested from this instance.
+    /// Backoff requested from this instance.
     pub backoff: Backoff,
-    /// Whether it is shutting down.
+    /// Whether it is leaving.
     pub leaving: bool,
     /// Rate limit over all instances.
     pub limit: Limit,
@@ -42,7 +42,7 @@
     For(u64),
     /// Not a valid number of seconds.
     Malformed,
-    /// No back-off requested.
+    /// No backoff requested.
     #[default]
     None,
 }
@@ -52,7 +52,7 @@
 pub struct DeclaredState {
     /// Until when this instance sends it no requests.
     pub backoff_until: Time,
-    /// Whether it is shutting down; final for the incarnation.
+    /// Whether it is leaving; final for the incarnation.
     pub leaving: bool,
     /// Rate limit over all instances; `None` if it announces none.
     pub limit: Option<Rate>,
@@ -159,7 +159,7 @@
         self.upstreams[key].declared.leaving = true;
     }
 
-    /// Starts or extends a back-off; a shorter one does not end an earlier one. Without it, an upstream that refused requests
+    /// Starts or extends a backoff; a shorter one does not end an earlier one. Without it, an upstream that refused requests
     /// got more a quarter of a second later.
     fn back_off(&mut self, key: upstream::Key, millis: u64) {
         self.count(Counter::NoticeBackoff);
@@ -185,7 +185,7 @@
         self.set_leaving_hint(key);
     }
 
-    /// When the first back-off ends, if all upstreams for a request are in one; `None` if any is not, or if there are none.
+    /// When the first backoff ends, if all upstreams for a request are in one; `None` if any is not, or if there are none.
     pub(crate) fn backoff_end(&self, request: &Request) -> Option<Time> {
         let pool = self.pools.get(request.service.pool())?;
         let assignable = self.assignable(pool);
@@ -193,7 +193,7 @@
         ends.min().filter(|end| *end > self.now)
     }
 
-    /// Upstreams of a pool that work can be assigned to, now or after a back-off or rate limit.
+    /// Upstreams of a pool that work can be assigned to, now or after a backoff or rate limit.
     pub(crate) fn assignable<'a>(
         &'a self,
         pool: &'a core::Pool,
@@ -203,8 +203,8 @@
             .filter(|upstream| !upstream.held)
     }
 
-    /// Retry delay for a caller whose request finds all upstreams in back-off, in milliseconds: until the first back-off ends,
-    /// even if the caller would wait less. `None` if any upstream is not in back-off.
+    /// Retry delay for a caller whose request finds all upstreams in backoff, in milliseconds: until the first backoff ends,
+    /// even if the caller would wait less. `None` if any upstream is not in backoff.
     pub(crate) fn backoff_retry_after_ms(&mut self, request: &Request) -> Option<u64> {
         let end = self.backoff_end(request)?;
         let remaining = end.since(self.now).max(capacity::MIN_RETRY_AFTER_MS);
@@ -214,7 +214,7 @@
         )
     }
 
-    /// Whether a request with `ahead` others before it will find no upstream in its waiting time, because of back-offs
+    /// Whether a request with `ahead` others before it will find no upstream in its waiting time, because of backoffs
     /// and rate limits.
     pub(crate) fn is_bound_to_expire(&self, request: &Request, ahead: usize) -> bool {
         let until = self.queue_deadline(request).min(request.deadline);
@@ -249,7 +249,7 @@
         })
     }
 
-    /// Fails queued requests that will not find an upstream in time, after another upstream went into back-off.
+    /// Fails queued requests that will not find an upstream in time, after another upstream went into backoff.
     fn refuse_bound_to_expire(&mut self, key: upstream::Key) {
         let pool = self.upstreams[key].pool.clone();
         let is_expiring = |request: &Request| {
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -28,10 +28,10 @@
 type Outages = BTreeMap<Arc<str>, Outage>;
 
 impl Outage {
-    /// Fraction of the data centre's upstreams that were lost, as a penalty for one last heard from at `heard`; 0 if that
-    /// was after the outage began.
-    fn lost_share(&self, heard: Time) -> f64 {
-        let is_silent = self.started_at.is_some_and(|since| heard < since);
+    /// Fraction of the data centre's upstreams that were lost, as a penalty for one last heard from at `last_heard`; 0 if
+    /// that was after the outage began.
+    fn lost_share(&self, last_heard: Time) -> f64 {
+        let is_silent = self.started_at.is_some_and(|since| last_heard < since);
         if self.lost < MIN_OUTAGE_UPSTREAMS || !is_silent {
             return 0.0;
         }
@@ -47,11 +47,11 @@
         {
             return Some(copy.upstream);
         }
-        let prefer = self.requests[key].progress.preferred_upstream.take();
-        if let Some(prefer) = prefer
-            && self.may_hold_copy(prefer)
+        let preferred = self.requests[key].progress.preferred_upstream.take();
+        if let Some(preferred) = preferred
+            && self.may_hold_copy(preferred)
         {
-            return Some(prefer);
+            return Some(preferred);
         }
         let request = &self.requests[key];
         if !self.may_send_call(request) {
@@ -127,7 +127,7 @@
         mut candidates: Vec<upstream::Key>,
         own: &OwnUsage,
     ) -> Option<upstream::Key> {
-        let place = self.settings.place;
+        let weights = self.settings.place;
         let pool = self.requests[key].service.pool();
         let outages = self.outages(pool);
         let sample_size = self.sample_size(pool, candidates.len());
@@ -138,8 +138,8 @@
             let upstream = &self.upstreams[*candidate];
             let outage = outages.get(&upstream.data_centre).copied();
             let cost = self.cost(key, *candidate, usage)
-                + outage.unwrap_or_default().lost_share(upstream.last_heard) * place.outage
-                + self.rng.random::<f64>() * place.spread;
+                + outage.unwrap_or_default().lost_share(upstream.last_heard) * weights.outage
+                + self.rng.random::<f64>() * weights.spread;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, *candidate));
             }
@@ -164,13 +164,13 @@
     fn cost(&self, key: request::Key, candidate: upstream::Key, usage: Usage) -> f64 {
         let request = &self.requests[key];
         let upstream = &self.upstreams[candidate];
-        let place = self.settings.place;
-        let mut cost = upstream.failure_score.level(self.now) * place.trouble;
-        cost += f64::from(usage.prefilling) * place.reading;
-        cost += f64::from(usage.running) * place.running;
-        cost += self.suspects_at(request.request_fingerprint, candidate) as f64 * place.suspect;
+        let weights = self.settings.place;
+        let mut cost = upstream.failure_score.level(self.now) * weights.trouble;
+        cost += f64::from(usage.prefilling) * weights.reading;
+        cost += f64::from(usage.running) * weights.running;
+        cost += self.suspects_at(request.request_fingerprint, candidate) as f64 * weights.suspect;
         if upstream.data_centre != self.data_centre {
-            cost += place.far * self.distance_weight(request.service.pool());
+            cost += weights.far * self.distance_weight(request.service.pool());
         }
         let memory = request
             .service
@@ -179,7 +179,7 @@
         if memory > 0 {
             let need = request.work.relay().map_or(0, |relay| relay.tokens);
             let filled = f64::from(usage.tokens + need) / f64::from(memory);
-            cost += filled * place.memory + (filled - 1.0).max(0.0) * OVERCOMMIT_COST;
+            cost += filled * weights.memory + (filled - 1.0).max(0.0) * OVERCOMMIT_COST;
         }
         cost
     }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -147,15 +147,15 @@
     /// Merges another history into this one. Returns the part of it that was new.
     #[must_use]
     pub fn merge(&mut self, other: &Self) -> Self {
-        let mut news = Self::default();
+        let mut added = Self::default();
         for (incarnation, crash) in &other.crashes {
             for (fingerprint, involvement) in &crash.requests {
                 if self.record(*incarnation, *fingerprint, *involvement, crash.at) {
-                    news.record(*incarnation, *fingerprint, *involvement, crash.at);
+                    added.record(*incarnation, *fingerprint, *involvement, crash.at);
                 }
             }
         }
-        news
+        added
     }
 
     /// The subset of the history that counts against one request.
@@ -231,14 +231,18 @@
 
     /// Evaluates only the number of crashes of each request.
     fn by_crash_count(&self) -> BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> {
-        let mut crashes: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> = BTreeMap::new();
+        let mut crashes_by_request: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>> =
+            BTreeMap::new();
         for (incarnation, crash) in &self.crashes {
             for (fingerprint, _) in crash.suspects() {
-                crashes.entry(fingerprint).or_default().insert(*incarnation);
+                crashes_by_request
+                    .entry(fingerprint)
+                    .or_default()
+                    .insert(*incarnation);
             }
         }
-        crashes.retain(|_, crashes| crashes.len() >= QUARANTINE_THRESHOLD);
-        crashes
+        crashes_by_request.retain(|_, crashes| crashes.len() >= QUARANTINE_THRESHOLD);
+        crashes_by_request
     }
 }
 
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -184,9 +184,9 @@
     }
 
     /// Records the state of a stream as reported by another instance.
-    pub(crate) fn record_peer_stream(&mut self, stream_record: StreamRecord) {
-        let starts = stream_record.stage == stream_record::Stage::Started;
-        let upstream = stream_record.upstream;
+    pub(crate) fn record_peer_stream(&mut self, record: StreamRecord) {
+        let starts = record.stage == stream_record::Stage::Started;
+        let upstream = record.upstream;
         let upstream = upstream
             .and_then(|incarnation| self.upstreams_by_incarnation.get(&incarnation).copied());
         let mut prefill_ms = stream_record::DEFAULT_PREFILL_MS;
@@ -195,16 +195,13 @@
             let name = self.upstreams[upstream].pool.clone();
             let pool = self.pools.entry(name).or_default();
             pool.estimates.record_stream_start(self.now);
-            if let Some(millis) = pool
-                .estimates
-                .known_prefill_ms(ahead + stream_record.tokens)
-            {
+            if let Some(millis) = pool.estimates.known_prefill_ms(ahead + record.tokens) {
                 prefill_ms = millis;
             }
         }
         let upstreams = &self.upstreams_by_incarnation;
         self.stream_records
-            .add(stream_record, false, prefill_ms, upstreams, self.now);
+            .add(record, false, prefill_ms, upstreams, self.now);
     }
 
     /// Initial progress of a relayed request. A request that resumes a stream starts after the last
@@ -218,13 +215,13 @@
         if relay.position == 0 {
             return progress;
         }
-        if let Some(stream_record) = self.stream_records.get(relay.prompt) {
+        if let Some(record) = self.stream_records.get(relay.prompt) {
             let find = |incarnation: Option<Incarnation>| {
                 self.upstreams_by_incarnation.get(&incarnation?).copied()
             };
-            progress.preferred_upstream = find(stream_record.upstream);
-            progress.copy = find(stream_record.backup).map(|upstream| request::KvCopy {
-                run: stream_record.run.as_str().into(),
+            progress.preferred_upstream = find(record.upstream);
+            progress.copy = find(record.backup).map(|upstream| request::KvCopy {
+                run: record.run.as_str().into(),
                 upstream,
             });
         }
@@ -466,8 +463,8 @@
         let backup = attempt.backup.and_then(incarnation);
         let upstream = incarnation(attempt.upstream);
         if let Some(relay) = self.requests[attempt.request].work.relay() {
-            let stream_record = relay.stream_record(stage, upstream, backup);
-            self.gossip(stream_record);
+            let record = relay.stream_record(stage, upstream, backup);
+            self.gossip(record);
         }
     }
 
@@ -475,32 +472,32 @@
     pub(crate) fn gossip_waiting(&mut self, key: request::Key) {
         let request = &self.requests[key];
         if let Some(relay) = request.work.relay() {
-            let mut stream_record = relay.stream_record(stream_record::Stage::Waiting, None, None);
-            stream_record.pool = request.service.pool().into();
-            self.gossip(stream_record);
+            let mut record = relay.stream_record(stream_record::Stage::Waiting, None, None);
+            record.pool = request.service.pool().into();
+            self.gossip(record);
         }
     }
 
     /// Announces to other instances that a stream ended, or that its caller left.
     pub(crate) fn gossip_end(&mut self, request: &Request, stage: stream_record::Stage) {
         if let Some(relay) = request.work.relay() {
-            let stream_record = relay.stream_record(stage, None, None);
-            self.gossip(stream_record);
+            let record = relay.stream_record(stage, None, None);
+            self.gossip(record);
         }
     }
 
-    fn gossip(&mut self, stream_record: StreamRecord) {
-        if stream_record.prompt == 0 {
+    fn gossip(&mut self, record: StreamRecord) {
+        if record.prompt == 0 {
             return;
         }
         self.stream_records.add(
-            stream_record.clone(),
+            record.clone(),
             true,
             0,
             &self.upstreams_by_incarnation,
             self.now,
         );
-        self.effects.push(Effect::GossipStream(stream_record));
+        self.effects.push(Effect::GossipStream(record));
     }
 
     /// Completes a relayed request: ends the caller's response with the effect that `last` creates.
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -23,7 +23,7 @@
     },
     /// A generation.
     Generate {
-        /// Maximum number of tokens in the answer.
+        /// Maximum number of tokens in the response.
         max_tokens: u32,
         /// Prompt and sampling parameters, in the edge's encoding.
         payload: Arc<[u8]>,
@@ -41,7 +41,7 @@
     pub bytes: u64,
     /// Host that the caller requested.
     pub host: Arc<str>,
-    /// Maximum number of tokens in the answer; 0 if the request sets none.
+    /// Maximum number of tokens in the response; 0 if the request sets none.
     pub max_answer_tokens: u32,
     /// Path without query.
     pub path: Arc<str>,
@@ -54,7 +54,7 @@
     /// How long the caller waits for the complete response, in milliseconds; `None` if it sets no
     /// timeout.
     pub timeout_ms: Option<u64>,
-    /// Number of tokens in the prompt and the longest possible answer.
+    /// Number of tokens in the prompt and the longest possible response.
     pub tokens: u32,
 }
 
@@ -112,7 +112,7 @@
 }
 
 impl Work {
-    /// Maximum number of tokens in the answer; 0 unless it is a generation.
+    /// Maximum number of tokens in the response; 0 unless it is a generation.
     pub fn max_tokens(&self) -> u32 {
         match self {
             Self::Call { .. } | Self::Relay(_) => 0,
@@ -200,7 +200,7 @@
     pub follows_peer: bool,
     /// Identifier of the generation.
     pub generation: u128,
-    /// Bytes that count towards the memory limit: the payload and the longest possible answer.
+    /// Bytes that count towards the memory limit: the payload and the longest possible response.
     pub held_bytes: u64,
     /// Number of the last attempt; 0 before the first.
     pub last_attempt: u32,
--- a/crates/core/src/role.rs
+++ b/crates/core/src/role.rs
@@ -7,14 +7,14 @@
     Independent,
     /// Calls the store and announces changes while the watcher is silent.
     Standby,
-    /// Hears of changes from the watcher.
+    /// Learns of changes from the watcher.
     Follower,
     /// Watches the store and announces changes to the others.
     Watcher,
 }
 
 impl Role {
-    /// Whether it hears of changes from another instance.
+    /// Whether it learns of changes from another instance.
     pub fn follows(self) -> bool {
         matches!(self, Self::Standby | Self::Follower)
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -55,12 +55,12 @@
 
     /// Chooses at random, weighted by the fraction of slots estimated to be free.
     fn by_headroom(&mut self, keys: &[upstream::Key]) -> Option<upstream::Key> {
-        let room = |key: &upstream::Key| (1.0 - self.utilization(*key)).max(f64::EPSILON);
-        let total: f64 = keys.iter().map(room).sum();
-        let rooms: Vec<f64> = keys.iter().map(room).collect();
+        let headroom = |key: &upstream::Key| (1.0 - self.utilization(*key)).max(f64::EPSILON);
+        let total: f64 = keys.iter().map(headroom).sum();
+        let headrooms: Vec<f64> = keys.iter().map(headroom).collect();
         let mut point = self.rng.random_range(0.0..total);
-        for (key, room) in keys.iter().zip(rooms) {
-            point -= room;
+        for (key, headroom) in keys.iter().zip(headrooms) {
+            point -= headroom;
             if point <= 0.0 {
                 return Some(*key);
             }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -67,7 +67,7 @@
 /// of them together no more than half of what the limit allows.
 const HOLDERS_PER_REQUEST: f64 = 1.5;
 
-/// Which instances hold a share of the rate limit that an upstream names.
+/// Which instances hold a share of the rate limit that an upstream announces.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitHolders {
     /// All instances; only a baseline for measuring the benefit of `Few`.
@@ -298,7 +298,7 @@
     pub key_lead_max_ms: u64,
     /// Time for which the report that an upstream is leaving overrides the platform's list.
     pub leaving_hint_ms: u64,
-    /// Which instances hold a share of the rate limit that an upstream names.
+    /// Which instances hold a share of the rate limit that an upstream announces.
     pub limits: LimitHolders,
     /// Time for which an engine keeps a stream without a reader.
     pub linger_ms: u64,
--- a/crates/core/src/staleness.rs
+++ b/crates/core/src/staleness.rs
@@ -9,7 +9,7 @@
 /// Part of [`RECOVERY_MS`] that is reserved for slow answers, datagrams and processes, in milliseconds.
 const MARGIN_MS: u64 = 100;
 
-/// Maximum time-out of a call of the configuration, in milliseconds: what the pause after it and the reads of
+/// Maximum timeout of a call of the configuration, in milliseconds: what the pause after it and the reads of
 /// a configuration that peers have leave.
 const CALL_MAX_MS: u64 =
     RECOVERY_MS - MARGIN_MS - store_calls::BACKOFF_MAX_MS - informer::READ_PAUSES_TOTAL_MS;
@@ -26,7 +26,7 @@
 }
 
 impl StalenessBound {
-    /// Time-out of a call, in milliseconds: half of the bound for a call that a silent store accepts and never
+    /// Timeout of a call, in milliseconds: half of the bound for a call that a silent store accepts and never
     /// answers, half for the next one.
     pub fn call_ms(self) -> u64 {
         (self.bound_ms / 2).min(CALL_MAX_MS)
--- a/crates/core/src/store_calls.rs
+++ b/crates/core/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the store for one topic: one pending at a time, with time-outs and backoff after failures.
+//! Calls of the store for one topic: one pending at a time, with timeouts and backoff after failures.
 
 use super::*;
 
@@ -6,7 +6,7 @@
 /// store takes. An instance that starts while the store is silent retries soon.
 pub const TIMEOUT_MS: u64 = 600;
 
-/// Maximum time-out after failures for an instance that the store has never answered, in milliseconds: instances that
+/// Maximum timeout after failures for an instance that the store has never answered, in milliseconds: instances that
 /// start together read long lists at the same time.
 const TIMEOUT_MAX_MS: u64 = 5_000;
 
@@ -14,7 +14,7 @@
 /// calls are paid for in full, even those that cost a tenth when they are answered.
 const BACKOFF_MS: RangeInclusive<u64> = 250..=1_000;
 
-/// Time-out and pause of a fast retry, in milliseconds, used where missing entries have a grace period from the first
+/// Timeout and pause of a fast retry, in milliseconds, used where missing entries have a grace period from the first
 /// answer on. Together they are below a second, so that with the two seconds of grace an instance knows the state of
 /// the store within the three seconds allowed after its return.
 const FAST_RETRY_MS: (u64, u64) = (700, 50);
@@ -25,10 +25,10 @@
 /// Maximum pause after a failed call, in milliseconds.
 pub(crate) const BACKOFF_MAX_MS: u64 = *BACKOFF_MS.end();
 
-/// Sum of time-out and pause of a fast retry, in milliseconds.
+/// Sum of timeout and pause of a fast retry, in milliseconds.
 pub(crate) const FAST_RETRY_TOTAL_MS: u64 = FAST_RETRY_MS.0 + FAST_RETRY_MS.1;
 
-/// Maximum pause of an instance that can not serve anybody before it has read, in milliseconds.
+/// Maximum pause of an instance that cannot serve anybody before it has read, in milliseconds.
 const BACKOFF_AT_START_MS: u64 = 100;
 
 /// Minimum pause after a failed call when the store has answered another call since, in milliseconds.
@@ -44,8 +44,6 @@
 /// A call whose answer is awaited.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingCall {
-    /// When it began.
-    pub began: Time,
     /// Whether its answer is announced as a confirmation to the other watchers.
     pub confirms: bool,
     /// Identifier of the call.
@@ -54,6 +52,8 @@
     pub is_incremental: bool,
     /// Whether the store waits for a change before it answers.
     pub is_watch: bool,
+    /// When it was sent.
+    pub started_at: Time,
 }
 
 /// State of the calls for one topic.
@@ -183,7 +183,7 @@
             && self.failures < FAST_RETRY_FAILURES
     }
 
-    /// Time-out of the next call after a failure, in milliseconds.
+    /// Timeout of the next call after a failure, in milliseconds.
     fn next_timeout(&self, availability: &Availability, bound: StalenessBound) -> u64 {
         if self.is_fast_retry(availability) {
             return FAST_RETRY_MS.0;
@@ -199,7 +199,9 @@
     fn backoff(&self, urgent: bool, availability: &Availability, now: Time) -> u64 {
         if self.is_fast_retry(availability) {
             // A store that refuses at once is not called twenty times a second.
-            let elapsed_ms = self.pending.map_or(0, |pending| now.since(pending.began));
+            let elapsed_ms = self
+                .pending
+                .map_or(0, |pending| now.since(pending.started_at));
             return if elapsed_ms < TIMEOUT_MS {
                 (self.pause_ms * 2).clamp(*BACKOFF_MS.start(), FAST_RETRY_TOTAL_MS)
             } else {
@@ -251,10 +253,10 @@
         let behind = self
             .behind_since
             .filter(|_| pending.is_watch)
-            .map(|behind| behind.max(pending.began).after(BEHIND_MS));
+            .map(|behind| behind.max(pending.started_at).after(BEHIND_MS));
         let recovered = availability
             .recovered_at()
-            .filter(|recovered| *recovered > pending.began);
+            .filter(|recovered| *recovered > pending.started_at);
         let stalled = recovered.map(|recovered| recovered.after(TIMEOUT_MS));
         let behind = behind.map(|at| (at, CancelReason::PeersAhead));
         let stalled = stalled.map(|at| (at, CancelReason::Stalled));
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,4 +1,4 @@
-//! Tokens and answers that upstreams send and callers receive.
+//! Tokens and responses that upstreams send and callers receive.
 
 use super::*;
 
@@ -88,7 +88,7 @@
         self.dispatch_queued(request.service.pool());
     }
 
-    /// Handles tokens of a stream, the first of which is at `position` in the whole answer. Tokens
+    /// Handles tokens of a stream, the first of which is at `position` in the whole response. Tokens
     /// that were delivered before are dropped; a gap or a mismatch abandons the attempt.
     pub(crate) fn handle_tokens(
         &mut self,
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against a request that crashes every upstream that starts running it, and that its caller keeps retrying, along
 //! with others like it, at any instance. The users' limit is three more sends in total, after the third crash and the
-//! time that instances need to hear of it from each other.
+//! time that instances need to learn of it from each other.
 
 use super::*;
 
@@ -33,7 +33,7 @@
 
 /// Request whose retry waits for the check whether its last upstream crashed.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct DelayedRetry {
     incarnation: Incarnation,
     reason: counter::Reason,
     request: request::Key,
@@ -43,8 +43,8 @@
 /// What this instance knows of requests that crash their upstreams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashSuspects {
+    delayed: Vec<DelayedRetry>,
     history: CrashHistory,
-    held: Vec<Held>,
     pending: HashMap<Incarnation, Pending>,
     quarantined: BTreeMap<RequestFingerprint, BTreeSet<Incarnation>>,
     /// Crashes that this instance observed itself.
@@ -102,13 +102,13 @@
         self.crash_suspects.quarantined.keys().copied()
     }
 
-    /// Unplanned ends of upstreams that this instance knows of.
+    /// Crashes of upstreams that this instance knows of.
     pub fn crash_history(&self) -> &CrashHistory {
         &self.crash_suspects.history
     }
 
-    /// Handles a broken connection, which may mean that the upstream crashed. The end of an upstream that is shutting down
-    /// says nothing about the requests that it ran.
+    /// Handles a broken connection, which may mean that the upstream crashed. The end of an upstream that is leaving says
+    /// nothing about the requests that it ran.
     pub(crate) fn suspect_crash(&mut self, attempt: &Attempt) {
         let upstream = &self.upstreams[attempt.upstream];
         if self.settings.quarantine == QuarantineRule::Off || upstream.is_leaving(self.now) {
@@ -118,7 +118,7 @@
         let fingerprint = self.requests[attempt.request].request_fingerprint;
         let running_ms = attempt
             .first_event_at
-            .map_or(0, |began| self.now.since(began));
+            .map_or(0, |first_event_at| self.now.since(first_event_at));
         let involvement = if running_ms >= LONG_RUN_MS {
             quarantine::Involvement::Ran
         } else {
@@ -151,18 +151,18 @@
         } else if let Some(pending) = self.crash_suspects.pending.get_mut(&incarnation) {
             pending.answered = true;
         }
-        let is_same_incarnation = |held: &mut Held| held.incarnation == incarnation;
-        let held: Vec<Held> = self
+        let is_same_incarnation = |retry: &mut DelayedRetry| retry.incarnation == incarnation;
+        let delayed: Vec<DelayedRetry> = self
             .crash_suspects
-            .held
+            .delayed
             .extract_if(.., is_same_incarnation)
             .collect();
-        for held in held {
-            self.retry_request(held.request, held.reason);
+        for retry in delayed {
+            self.retry_request(retry.request, retry.reason);
         }
     }
 
-    /// Records an unplanned end of an upstream, with the requests whose connections to it broke.
+    /// Records the crash of an upstream, with the requests whose connections to it broke.
     pub(crate) fn confirm_crash(&mut self, incarnation: Incarnation) {
         if let Some(pending) = self.crash_suspects.pending.remove(&incarnation) {
             self.record_crash(incarnation, &pending.requests);
@@ -175,14 +175,14 @@
         requests: &BTreeMap<RequestFingerprint, quarantine::Involvement>,
     ) {
         let (now, history) = (self.now, &mut self.crash_suspects.history);
-        let mut news = CrashHistory::default();
+        let mut added = CrashHistory::default();
         for (fingerprint, involvement) in requests {
             if history.record(incarnation, *fingerprint, *involvement, now) {
-                news.record(incarnation, *fingerprint, *involvement, now);
+                added.record(incarnation, *fingerprint, *involvement, now);
             }
         }
         self.crash_suspects.witnessed.insert(incarnation);
-        self.publish_crashes(news);
+        self.publish_crashes(added);
     }
 
     /// Merges crashes reported by another instance or by the store.
@@ -208,7 +208,7 @@
         self.publish_crashes(changes);
     }
 
-    /// Publishes what this instance observed, and updates the quarantine.
+    /// Gossips crashes that this instance observed, and updates the quarantine.
     fn publish_crashes(&mut self, changes: CrashHistory) {
         if !changes.is_empty() {
             self.push_quarantine_effect(effect::Quarantine::Gossip(changes));
@@ -309,7 +309,7 @@
                 if self.crash_suspects.crash_count(fingerprint)
                     >= quarantine::QUARANTINE_THRESHOLD =>
             {
-                self.crash_suspects.held.push(Held {
+                self.crash_suspects.delayed.push(DelayedRetry {
                     incarnation,
                     reason,
                     request: key,
@@ -339,10 +339,10 @@
         }
         let pending = &mut self.crash_suspects.pending;
         pending.retain(|_, pending| now.since(pending.broken_at) < PENDING_MS);
-        let is_due = |held: &mut Held| held.until <= now;
-        let due: Vec<Held> = self.crash_suspects.held.extract_if(.., is_due).collect();
-        for held in due {
-            self.retry_request(held.request, held.reason);
+        let is_due = |retry: &mut DelayedRetry| retry.until <= now;
+        let due: Vec<DelayedRetry> = self.crash_suspects.delayed.extract_if(.., is_due).collect();
+        for retry in due {
+            self.retry_request(retry.request, retry.reason);
         }
     }
 
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -21,7 +21,7 @@
 /// Load report of an upstream; outdated by an unknown lag when it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Whether the upstream is shutting down.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
     /// Requests being processed.
     pub running: u32,
@@ -181,7 +181,7 @@
                 .is_none_or(|bucket| bucket.has_permit(now))
     }
 
-    /// Whether it is neither leaving, in back-off, nor held back for its version. Its rate limit may be exhausted.
+    /// Whether it is neither leaving, in backoff, nor held back for its version. Its rate limit may be exhausted.
     pub fn is_available(&self, now: Time) -> bool {
         !self.is_leaving(now) && !self.is_in_backoff(now) && !self.held
     }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Gives an upstream no new work for a while, whatever the platform's list says, and tells the peers.
+    /// Gives an upstream no new work for a while, whatever the platform's list says, and announces it to the peers.
     pub(crate) fn mark_leaving(&mut self, key: upstream::Key) {
         if self.set_leaving_hint(key) {
             let upstream = &self.upstreams[key];
@@ -103,19 +103,19 @@
         if instances > 0 {
             self.instances = instances as u32;
         }
-        let mut absent: Vec<upstream::Key> = self.upstreams.keys().collect();
+        let mut unlisted: Vec<upstream::Key> = self.upstreams.keys().collect();
         let mut predecessors = Vec::new();
         let known = self.upstreams.len();
         for entry in listed {
             if entry.pool != core::INSTANCE_POOL {
                 let upstream = self.upsert_listed(entry);
                 predecessors.extend(upstream.predecessor);
-                absent
+                unlisted
                     .retain(|other| *other != upstream.key && Some(*other) != upstream.predecessor);
             }
         }
         let has_new = self.upstreams.len() > known;
-        for key in absent {
+        for key in unlisted {
             if !self.upstreams[key].leaving || self.upstreams[key].attempts.is_empty() {
                 self.log_status_change(key, effect::StatusChange::Gone);
             }
@@ -471,7 +471,7 @@
         }
     }
 
-    /// Logs a changed belief about an upstream.
+    /// Logs a change in the status of an upstream.
     pub(crate) fn log_status_change(&mut self, key: upstream::Key, change: effect::StatusChange) {
         let upstream = &self.upstreams[key];
         self.effects.push(Effect::LogUpstream {
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -173,13 +173,13 @@
 
     /// Delivers one token of an attempt.
     fn send_token(&mut self, attempt: attempt::Key, position: u32, token: u32) {
-        let piece = OutputToken {
+        let output_token = OutputToken {
             text: "a".into(),
             id: token,
         };
         self.handle(Event::Tokens {
             attempt,
-            tokens: vec![piece],
+            tokens: vec![output_token],
             position,
         });
     }
@@ -253,9 +253,8 @@
     let mut test = Test::new(Settings::default(), 1);
     test.submit("mill");
     let (attempt, upstream) = (test.attempts()[0], test.upstream());
-    let rest = Backoff::For(3_000);
     let notice = Notice {
-        backoff: rest,
+        backoff: Backoff::For(3_000),
         ..Notice::default()
     };
     test.handle(Event::NoticeReceived {
@@ -496,12 +495,12 @@
 #[gtest]
 fn resumed_instance_sends_nothing_before_it_has_read_the_list_again() {
     let mut test = Test::new(Settings::default(), 1);
-    let asked = test.now;
+    let requested_at = test.now;
     test.now = test.now.after(5_000);
     test.submit("mill");
     // The response to a read that started before the pause may be stale.
     test.handle(Event::List {
-        requested_at: asked,
+        requested_at,
         entries: None,
     });
     expect_that!(test.sent_to(), is_empty());
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -10,7 +10,7 @@
     },
 };
 
-/// Time within which all instances hear of a change, in milliseconds.
+/// Time within which all instances learn of a change, in milliseconds.
 const CONVERGENCE_MS: u64 = 4_000;
 
 /// Length of one step, in milliseconds.
@@ -42,7 +42,7 @@
     let mut changed = 0;
     for step in 0..STEPS {
         let now = step * STEP_MS;
-        // Changes that come faster than instances hear of them count as a loss of the fleet, which the users' rule
+        // Changes that come faster than instances learn of them count as a loss of the fleet, which the users' rule
         // excuses.
         if now > changed + CONVERGENCE_MS && random.random_range(0..20) == 0 {
             changed = now;
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -23,8 +23,8 @@
 /// A history of crashed upstreams, each with the requests that waited there.
 fn history(crashes: &[(u64, &[u64])]) -> CrashHistory {
     let mut history = CrashHistory::default();
-    for (upstream, prints) in crashes {
-        for fingerprint in *prints {
+    for (upstream, fingerprints) in crashes {
+        for fingerprint in *fingerprints {
             let at = NOW.after(*upstream);
             history.record(
                 incarnation(*upstream),
@@ -142,9 +142,9 @@
 #[gtest]
 fn complete_response_clears_a_request_of_earlier_crashes() {
     let mut history = history(&[(1, &[7]), (2, &[7]), (3, &[7])]);
-    let news = history.clear(RequestFingerprint(7));
+    let cleared = history.clear(RequestFingerprint(7));
     expect_that!(quarantined(&history), is_empty());
-    expect_that!(news.len(), eq(3));
+    expect_that!(cleared.len(), eq(3));
     history.record(
         incarnation(4),
         RequestFingerprint(7),
@@ -200,8 +200,8 @@
 fn merge_returns_only_what_is_new() {
     let mut all = history(&[(1, &[7]), (2, &[8])]);
     expect_that!(all.merge(&history(&[(1, &[7])])).is_empty(), eq(true));
-    let news = all.merge(&history(&[(1, &[7, 9])]));
-    expect_that!(news, eq(&history(&[(1, &[9])])));
+    let added = all.merge(&history(&[(1, &[7, 9])]));
+    expect_that!(added, eq(&history(&[(1, &[9])])));
 }
 
 #[gtest]
@@ -239,8 +239,8 @@
             NOW,
         );
     }
-    let there = history.crashes().map(|(_, crash)| crash.requests.len());
-    expect_that!(there.max(), some(le(64)));
+    let counts = history.crashes().map(|(_, crash)| crash.requests.len());
+    expect_that!(counts.max(), some(le(64)));
 }
 
 #[gtest]
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -48,7 +48,7 @@
         self
     }
 
-    /// Makes the core wait for the records of streams from before its start.
+    /// Makes the core wait for the records of streams that were stored before its start.
     pub fn restoring_streams(mut self) -> Self {
         self.core = self.core.restoring_streams();
         self
@@ -153,12 +153,12 @@
         let sent = self.last_sent();
         self.handle(Event::StreamOpened(sent.attempt));
         for position in 1..=events {
-            self.pass_on(&sent, position);
+            self.send_event(&sent, position);
         }
         sent
     }
 
-    pub fn pass_on(&mut self, sent: &Sent, position: u64) {
+    pub fn send_event(&mut self, sent: &Sent, position: u64) {
         self.handle(Event::StreamEvent {
             attempt: sent.attempt,
             bytes: format!("id: {position}\n\n").into_bytes().into(),
@@ -178,7 +178,7 @@
         });
     }
 
-    /// Breaks the connection of an attempt; the crash check then finds that its upstream has ended or is alive.
+    /// Breaks the connection of an attempt; the crash check then finds that its upstream has crashed or is alive.
     pub fn break_connection(&mut self, sent: &Sent, crashed: bool) {
         self.fail(sent, Failure::Broken);
         let incarnation = incarnation(sent.upstream, 0);
--- a/crates/core/tests/relay/capacity.rs
+++ b/crates/core/tests/relay/capacity.rs
@@ -25,7 +25,7 @@
         let sent = self.last_sent();
         self.advance(1_000);
         self.handle(Event::StreamOpened(sent.attempt));
-        self.pass_on(&sent, 1);
+        self.send_event(&sent, 1);
         sent
     }
 }
@@ -51,7 +51,7 @@
     test.burst(3);
     let first = test.sent()[0].clone();
     test.handle(Event::StreamOpened(first.attempt));
-    test.pass_on(&first, 1);
+    test.send_event(&first, 1);
     test.advance(10);
     expect_that!(test.sent().len(), eq(3));
 }
@@ -97,7 +97,7 @@
         test.request(STREAM);
         let sent = test.last_sent();
         test.handle(Event::StreamOpened(sent.attempt));
-        test.pass_on(&sent, 1);
+        test.send_event(&sent, 1);
         copies.push(sent.backup.is_some());
     }
     expect_that!(copies[..5], each(eq(&true)));
@@ -111,7 +111,7 @@
         test.request(STREAM);
         let sent = test.last_sent();
         test.handle(Event::StreamOpened(sent.attempt));
-        test.pass_on(&sent, 1);
+        test.send_event(&sent, 1);
     }
     // Ten requests of 5,200 tokens fit into 55,000.
     expect_that!(test.sent().len(), eq(10));
@@ -148,9 +148,7 @@
     let mut test = Test::new(1);
     test.burst(3);
     let waits = |effect: &&Effect| match effect {
-        Effect::GossipStream(stream_record) => {
-            stream_record.stage == Stage::Waiting && stream_record.pool == "pool"
-        }
+        Effect::GossipStream(record) => record.stage == Stage::Waiting && record.pool == "pool",
         _ => false,
     };
     expect_that!(test.effects.iter().filter(waits).count(), eq(1));
@@ -160,13 +158,13 @@
 fn late_stream_uses_only_spare_capacity() {
     let mut test = Test::new(1);
     let sent = test.measure_prefill();
-    test.pass_on(&sent, 2);
+    test.send_event(&sent, 2);
     test.request(STREAM);
     test.request_within(14_000, "key", STREAM, 0);
     expect_that!(test.sent().len(), eq(2));
     let second = test.last_sent();
     test.handle(Event::StreamOpened(second.attempt));
-    test.pass_on(&second, 1);
+    test.send_event(&second, 1);
     test.advance(10);
     expect_that!(test.sent().len(), eq(3));
 }
@@ -221,7 +219,7 @@
 }
 
 #[gtest]
-fn resuming_caller_waits_for_the_recall_of_stored_streams() {
+fn resuming_caller_waits_until_stored_streams_are_reported() {
     let mut test = Test::new(6).restoring_streams();
     test.request(NON_REPEATABLE);
     test.request_as("key", STREAM, 9);
--- a/crates/core/tests/relay/incarnation.rs
+++ b/crates/core/tests/relay/incarnation.rs
@@ -17,13 +17,13 @@
     test
 }
 
-/// Beliefs logged about upstreams since the given effect.
-fn beliefs(test: &Test, since: usize) -> Vec<&'static str> {
-    let belief = |effect: &Effect| match effect {
-        Effect::LogUpstream { change: belief, .. } => Some(belief.name()),
+/// Status changes of upstreams logged since the given effect.
+fn status_changes(test: &Test, since: usize) -> Vec<&'static str> {
+    let change = |effect: &Effect| match effect {
+        Effect::LogUpstream { change, .. } => Some(change.name()),
         _ => None,
     };
-    test.effects[since..].iter().filter_map(belief).collect()
+    test.effects[since..].iter().filter_map(change).collect()
 }
 
 #[gtest]
@@ -64,7 +64,10 @@
     };
     next.routes.push(route("/another/", call, true, false));
     test.handle(Event::Config(Arc::new(next)));
-    expect_that!(beliefs(&test, before), elements_are![eq(&"replaced")]);
+    expect_that!(
+        status_changes(&test, before),
+        elements_are![eq(&"replaced")]
+    );
 }
 
 #[gtest]
@@ -86,7 +89,7 @@
     test.request(NON_REPEATABLE);
     let before = test.effects.len();
     test.list(vec![listed(0, 0)]);
-    expect_that!(beliefs(&test, before), is_empty());
+    expect_that!(status_changes(&test, before), is_empty());
     expect_that!(test.outcomes(), is_empty());
 }
 
@@ -187,7 +190,7 @@
     };
     let before = test.effects.len();
     test.list(vec![moved]);
-    expect_that!(beliefs(&test, before), contains(eq(&"restarted")));
+    expect_that!(status_changes(&test, before), contains(eq(&"restarted")));
     expect_that!(test.last_sent().upstream, eq(5));
 }
 
@@ -214,7 +217,7 @@
     expect_that!(test.last_sent().upstream, eq(0));
     let before = test.effects.len();
     test.advance(1_200);
-    expect_that!(beliefs(&test, before), is_empty());
+    expect_that!(status_changes(&test, before), is_empty());
 }
 
 #[gtest]
@@ -225,7 +228,7 @@
     // The clock of the machine was set back before it restarted again.
     test.list(vec![listed_since(0, 4)]);
     expect_that!(
-        beliefs(&test, before),
+        status_changes(&test, before),
         elements_are![eq(&"new"), eq(&"restarted")]
     );
     test.request(NON_REPEATABLE);
--- a/crates/core/tests/relay/limit.rs
+++ b/crates/core/tests/relay/limit.rs
@@ -135,18 +135,18 @@
     test.request(NON_REPEATABLE);
     let before = test.last_sent();
     test.request(NON_REPEATABLE);
-    let naming = test.last_sent();
+    let announcing = test.last_sent();
     test.advance(10);
-    test.announce_limit(&naming, Limit::Rate(Rate(1_000)));
+    test.announce_limit(&announcing, Limit::Rate(Rate(1_000)));
     test.announce_limit(&before, Limit::None);
     expect_that!(test.announced(), elements_are![some(eq(&Rate(1_000)))]);
-    test.answer(&naming, Verdict::Good);
+    test.answer(&announcing, Verdict::Good);
     test.answer(&before, Verdict::Good);
     test.advance(2 * SECOND);
     test.request(NON_REPEATABLE);
-    let behind = test.last_sent();
-    test.announce_limit(&behind, Limit::None);
-    test.answer(&behind, Verdict::Good);
+    let later = test.last_sent();
+    test.announce_limit(&later, Limit::None);
+    test.answer(&later, Verdict::Good);
     expect_that!(test.announced(), elements_are![some(anything()), none()]);
     expect_that!(test.send_calls(SECOND, Limit::None), eq(50));
 }
@@ -180,14 +180,14 @@
 #[gtest]
 fn limit_reported_by_a_peer_applies_until_the_peer_reports_its_end() {
     let mut test = Test::new(1);
-    let tell = |test: &mut Test, rate: Option<Rate>| {
+    let report = |test: &mut Test, rate: Option<Rate>| {
         let incarnation = incarnation(0, 0);
         test.handle(Event::PeerLimit { incarnation, rate });
     };
-    tell(&mut test, Some(Rate(1_000)));
+    report(&mut test, Some(Rate(1_000)));
     expect_that!(test.send_calls(5 * SECOND, Limit::Unknown), le(6));
     expect_that!(test.announced(), is_empty());
-    tell(&mut test, None);
+    report(&mut test, None);
     expect_that!(test.send_calls(SECOND, Limit::Unknown), eq(50));
 }
 
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -65,7 +65,7 @@
     test.close(&first, false);
     let second = test.last_sent();
     test.handle(Event::StreamOpened(second.attempt));
-    test.pass_on(&second, 4);
+    test.send_event(&second, 4);
     test.close(&second, true);
     expect_that!(
         test.delivered(),
@@ -123,7 +123,7 @@
     test.fail(&sent, Failure::Broken);
     let next = test.last_sent();
     test.handle(Event::StreamOpened(next.attempt));
-    test.pass_on(&next, 3);
+    test.send_event(&next, 3);
     let opened = test
         .effects
         .iter()
@@ -158,8 +158,8 @@
 fn repeated_event_is_dropped() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
-    test.pass_on(&sent, 2);
-    test.pass_on(&sent, 3);
+    test.send_event(&sent, 2);
+    test.send_event(&sent, 3);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2), eq(&3)]);
     expect_that!(test.counted(Counter::FrameRepeated), eq(1));
 }
@@ -168,7 +168,7 @@
 fn stream_that_skips_an_event_is_resumed_on_another_upstream() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
-    test.pass_on(&sent, 4);
+    test.send_event(&sent, 4);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2)]);
     expect_that!(test.last_sent().position, eq(2));
 }
@@ -178,7 +178,7 @@
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.fail(&sent, Failure::Broken);
-    test.pass_on(&sent, 3);
+    test.send_event(&sent, 3);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2)]);
     expect_that!(test.counted(Counter::FrameLate), eq(1));
 }
@@ -404,7 +404,7 @@
         leaving: true,
         ..listed(0, 0)
     }]);
-    test.pass_on(&sent, 2);
+    test.send_event(&sent, 2);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2)]);
 }
 
@@ -426,11 +426,11 @@
     let mut test = Test::new(6);
     let sent = test.stream(1);
     test.fail(&sent, Failure::Broken);
-    let blamed = test.effects.iter().find_map(|effect| match effect {
+    let announced = test.effects.iter().find_map(|effect| match effect {
         Effect::GossipLost(incarnation) => Some(*incarnation),
         _ => None,
     });
-    expect_that!(blamed, some(eq(incarnation(sent.upstream, 0))));
+    expect_that!(announced, some(eq(incarnation(sent.upstream, 0))));
 }
 
 #[gtest]
--- a/crates/core/tests/relay/notice.rs
+++ b/crates/core/tests/relay/notice.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A back-off in milliseconds, and its maximum with jitter.
+/// A backoff in milliseconds, and its maximum with jitter.
 const BACKOFF: u64 = 3_000;
 const MAX_BACKOFF: u64 = BACKOFF + BACKOFF / 10;
 
@@ -16,7 +16,7 @@
         self.apply_notice(sent, notice);
     }
 
-    /// Requests a back-off in the response headers of an attempt.
+    /// Requests a backoff in the response headers of an attempt.
     fn request_backoff(&mut self, sent: &Sent, millis: u64) {
         let notice = Notice {
             backoff: Backoff::For(millis),
@@ -33,7 +33,7 @@
         });
     }
 
-    /// Refuses an attempt and requests a back-off.
+    /// Refuses an attempt and requests a backoff.
     fn refuse_with_backoff(&mut self, sent: &Sent, millis: u64) {
         self.request_backoff(sent, millis);
         self.fail(sent, Failure::Refused);
@@ -147,7 +147,7 @@
     let mut test = Test::new(6);
     let sent = test.stream(3);
     test.announce_leaving(&sent);
-    test.pass_on(&sent, 4);
+    test.send_event(&sent, 4);
     test.close(&sent, true);
     expect_that!(
         test.delivered(),
@@ -176,7 +176,7 @@
 }
 
 #[gtest]
-fn peers_are_told_once_of_a_leaving_upstream() {
+fn peers_are_notified_once_of_a_leaving_upstream() {
     let (mut test, left) = one_of_two_leaving();
     let sent = test.sent().first().cloned().unwrap();
     test.announce_leaving(&sent);
@@ -188,7 +188,7 @@
         other.upstreams_called(NON_REPEATABLE),
         elements_are![eq(&(1 - left))]
     );
-    // A report from a peer is not forwarded; otherwise each instance that receives it would tell all others.
+    // A report from a peer is not forwarded; otherwise each instance that receives it would notify all others.
     expect_that!(other.effects.iter().filter(is_leaving).count(), eq(0));
 }
 
@@ -212,8 +212,8 @@
         test.refuse_with_backoff(&sent, BACKOFF);
         test.answer(&test.last_sent(), Verdict::Good);
         for _ in 0..BACKOFF / 500 {
-            let asked = test.upstreams_called(path);
-            expect_that!(asked, elements_are![eq(&(1 - sent.upstream))], "{path}");
+            let called = test.upstreams_called(path);
+            expect_that!(called, elements_are![eq(&(1 - sent.upstream))], "{path}");
             test.advance(500);
         }
         test.advance(MAX_BACKOFF - BACKOFF + 5_000);
@@ -285,7 +285,7 @@
     expect_that!(test.upstreams_called(NON_REPEATABLE), elements_are![eq(&0)]);
 }
 
-/// All upstreams of a service request a back-off longer than a request may wait. Queueing requests until their deadline
+/// All upstreams of a service request a backoff longer than a request may wait. Queueing requests until their deadline
 /// would hold what is known to fail.
 #[gtest]
 fn request_is_refused_at_once_if_all_backoffs_exceed_its_waiting_time() {
@@ -297,15 +297,15 @@
     test.request(NON_REPEATABLE);
     expect_that!(test.sent().len(), eq(1));
     expect_that!(test.outcomes().len(), eq(2));
-    for come_back in test.retry_afters() {
+    for retry_after in test.retry_afters() {
         expect_that!(
-            come_back,
+            retry_after,
             all![ge(BACKOFF), le(MAX_BACKOFF + MAX_BACKOFF / 8)]
         );
     }
 }
 
-/// The back-off ends within the waiting time, so waiting serves the request and refusing would not.
+/// The backoff ends within the waiting time, so waiting serves the request and refusing would not.
 #[gtest]
 fn request_waits_for_the_end_of_a_short_backoff() {
     let mut test = Test::new(1);
@@ -339,26 +339,26 @@
 /// Instances that were refused by one upstream at the same moment must not all return at the same moment.
 #[gtest]
 fn ends_of_a_backoff_are_spread_over_instances() {
-    let mut starts: Vec<u64> = (0..20)
+    let mut delays: Vec<u64> = (0..20)
         .map(|seed| {
             let mut test = Test::seeded(seed);
             test.request(REPEATABLE);
             let sent = test.last_sent();
             test.refuse_with_backoff(&sent, 800);
-            let begun = test.now;
-            while test.sent().len() < 2 && test.now.since(begun) < 1_000 {
+            let requested_at = test.now;
+            while test.sent().len() < 2 && test.now.since(requested_at) < 1_000 {
                 test.advance(10);
             }
-            test.now.since(begun)
+            test.now.since(requested_at)
         })
         .collect();
-    starts.sort_unstable();
-    expect_that!(starts[0], ge(800));
-    expect_that!(starts[19], le(890));
-    expect_that!(starts[19] - starts[0], ge(40));
+    delays.sort_unstable();
+    expect_that!(delays[0], ge(800));
+    expect_that!(delays[19], le(890));
+    expect_that!(delays[19] - delays[0], ge(40));
 }
 
-/// Calls for an upstream in back-off must not overload the other upstreams.
+/// Calls for an upstream in backoff must not overload the other upstreams.
 #[gtest]
 fn slots_of_an_upstream_in_backoff_do_not_count() {
     let mut test = Test::new(2);
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -1,4 +1,4 @@
-//! Poison requests: when they are refused, and which ends of upstreams do not count as crashes.
+//! Poison requests: when they are refused, and when the end of an upstream does not count as a crash.
 
 use super::*;
 
@@ -68,9 +68,9 @@
 #[gtest]
 fn crashes_over_several_attempts_of_a_call_are_counted_together() {
     let mut test = Test::new(9);
-    for ends in 0..2 {
+    for earlier in 0..2 {
         test.request(REPEATABLE);
-        for _ in 0..2 - ends {
+        for _ in 0..2 - earlier {
             let sent = test.last_sent();
             test.break_connection(&sent, true);
         }
@@ -122,35 +122,37 @@
 }
 
 #[gtest]
-fn upstream_that_was_born_anew_has_ended_though_its_address_answers() {
+fn restarted_upstream_has_crashed_although_its_address_answers() {
     let mut test = Test::new(0);
-    let born = |index: usize, born: u64| ListEntry {
+    let listed_since = |index: usize, born: u64| ListEntry {
         born,
         ..listed(index, index)
     };
-    let mut births = vec![1; 9];
-    let list = |births: &[u64]| {
-        let listed = births.iter().enumerate();
-        listed.map(|(index, at)| born(index, *at)).collect()
+    let mut start_times = vec![1; 9];
+    let list = |start_times: &[u64]| {
+        let listed = start_times.iter().enumerate();
+        listed
+            .map(|(index, born)| listed_since(index, *born))
+            .collect()
     };
-    test.list(list(&births));
+    test.list(list(&start_times));
     test.request(STREAM);
     for _ in 0..3 {
         let sent = test.last_sent();
         test.fail(&sent, Failure::Broken);
-        let incarnation = incarnation(sent.upstream, births[sent.upstream]);
+        let incarnation = incarnation(sent.upstream, start_times[sent.upstream]);
         test.handle(Event::CrashChecked {
             crashed: false,
             incarnation,
         });
-        births[sent.upstream] += 5;
-        test.list(list(&births));
+        start_times[sent.upstream] += 5;
+        test.list(list(&start_times));
     }
     expect_that!(test.counted(Counter::Quarantined), eq(1));
 }
 
 #[gtest]
-fn ends_of_leaving_upstreams_quarantine_no_request() {
+fn end_of_a_leaving_upstream_quarantines_no_request() {
     let mut test = Test::new(9);
     test.request(STREAM);
     for _ in 0..4 {
@@ -202,7 +204,7 @@
         crash_upstreams(&mut test, 2);
         let sent = test.last_sent();
         test.handle(Event::StreamOpened(sent.attempt));
-        test.pass_on(&sent, 1);
+        test.send_event(&sent, 1);
         test.close(&sent, true);
     }
     expect_that!(test.outcomes(), elements_are![eq("close"), eq("close")]);
@@ -233,8 +235,8 @@
             test.request(STREAM);
             together.push(test.last_sent());
         }
-        let history = |body| reported(body, 20..21);
-        (0..4).for_each(|body| test.handle(history(body)));
+        let report = |body| reported(body, 20..21);
+        (0..4).for_each(|body| test.handle(report(body)));
         let before = test.sent().len();
         for sent in &together {
             test.break_connection(sent, true);
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -238,8 +238,8 @@
     expect_that!(is_leaving(&roster), none());
 }
 
-/// The store was down again soon and upstreams could not register meanwhile: an instance that is told must extend the
-/// grace period like the one that saw it.
+/// The store was down again soon and upstreams could not register meanwhile: an instance that learns of it from an update
+/// must extend the grace period like the one that saw it.
 #[gtest]
 fn extended_grace_period_is_taken_from_updates() {
     let mut roster = Roster::default();
