--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -143,17 +143,16 @@
             Event::CallerGone(caller) => self.handle_caller_gone(caller),
             Event::Claimed { outcome, request } => self.handle_claim_outcome(request, outcome),
             Event::Config(config) => self.apply_config(config),
-            Event::CrashChecked {
-                crashed,
-                incarnation,
-            } => self.apply_crash_check(incarnation, crashed),
+            Event::CrashChecked { ended, incarnation } => {
+                self.apply_crash_check(incarnation, ended);
+            }
             Event::CrashReported(reported) => self.merge_crashes(&reported),
             Event::Failed { attempt, failure } => self.handle_failure(attempt, failure),
             Event::GenerationFinished {
                 attempt,
                 position,
                 reason,
-            } => self.handle_finished(attempt, position, reason),
+            } => self.handle_generation_finished(attempt, position, reason),
             Event::Instances(view) => self.update_members(view),
             Event::Leaving(name) => self.apply_leaving_hint(&name),
             Event::List {
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -193,7 +193,7 @@
         /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// Whether this instance observed one of the crashes itself.
-        witnessed: bool,
+        own: bool,
     },
     /// Log that a request is no longer refused, and delete the persisted refusal: another request
     /// explains the crashes, or they expired.
@@ -201,7 +201,7 @@
         /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// Whether this instance observed one of the crashes itself, and so persisted the refusal.
-        witnessed: bool,
+        own: bool,
     },
 }
 
@@ -284,7 +284,7 @@
         /// Its incarnation.
         incarnation: Incarnation,
         /// Its name.
-        upstream: Arc<str>,
+        name: Arc<str>,
     },
     /// Broadcast to other instances the rate limit that an upstream sets for all of them together.
     GossipLimit {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -138,7 +138,7 @@
     /// An upstream whose connections broke was checked for a crash.
     CrashChecked {
         /// Whether nothing listens at its address.
-        crashed: bool,
+        ended: bool,
         /// Its incarnation.
         incarnation: Incarnation,
     },
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -222,7 +222,7 @@
 
     /// Recomputes the set of quarantined requests from all known crashes, and refuses those that are new in it.
     fn update_quarantine(&mut self) {
-        let witnessed = self.crash_suspects.witnessed_quarantined();
+        let own = self.crash_suspects.witnessed_quarantined();
         let suspects = &mut self.crash_suspects;
         let rule = self.settings.quarantine;
         suspects.history.evict(rule, self.now);
@@ -244,11 +244,8 @@
         let released: Vec<RequestFingerprint> = previous.keys().filter(released).copied().collect();
         for fingerprint in released {
             // Only an instance that stored the entry deletes it; otherwise hundreds would write when one expires.
-            let witnessed = witnessed.contains(&fingerprint);
-            self.push_quarantine_effect(effect::Quarantine::Release {
-                fingerprint,
-                witnessed,
-            });
+            let own = own.contains(&fingerprint);
+            self.push_quarantine_effect(effect::Quarantine::Release { fingerprint, own });
         }
         let history = self.crash_suspects.history.clone();
         self.push_quarantine_effect(effect::Quarantine::Publish(history));
@@ -258,12 +255,12 @@
     fn quarantine(&mut self, fingerprint: RequestFingerprint) {
         self.count(Counter::Quarantined);
         let suspects = &self.crash_suspects;
-        let witnessed = suspects.has_witnessed(&suspects.quarantined[&fingerprint]);
+        let own = suspects.has_witnessed(&suspects.quarantined[&fingerprint]);
         let evidence = suspects.history.evidence_for(fingerprint);
         self.push_quarantine_effect(effect::Quarantine::Refuse {
             evidence,
             fingerprint,
-            witnessed,
+            own,
         });
         let affected: Vec<request::Key> = self
             .requests
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -68,7 +68,7 @@
             let upstream = &self.upstreams[key];
             self.effects.push(Effect::GossipLeaving {
                 incarnation: upstream.incarnation,
-                upstream: upstream.name.clone(),
+                name: upstream.name.clone(),
             });
         }
     }
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -179,13 +179,10 @@
     }
 
     /// Breaks the connection of an attempt; the crash check then finds that its upstream has crashed or is alive.
-    pub fn break_connection(&mut self, sent: &Sent, crashed: bool) {
+    pub fn break_connection(&mut self, sent: &Sent, ended: bool) {
         self.fail(sent, Failure::Broken);
         let incarnation = incarnation(sent.upstream, 0);
-        self.handle(Event::CrashChecked {
-            crashed,
-            incarnation,
-        });
+        self.handle(Event::CrashChecked { ended, incarnation });
     }
 
     pub fn answer(&mut self, sent: &Sent, verdict: Verdict) {
--- a/crates/core/tests/relay/poison.rs
+++ b/crates/core/tests/relay/poison.rs
@@ -91,7 +91,7 @@
     expect_that!(test.outcomes(), is_empty());
     let incarnation = incarnation(third.upstream, 0);
     test.handle(Event::CrashChecked {
-        crashed: false,
+        ended: false,
         incarnation,
     });
     expect_that!(test.sent().len(), eq(4));
@@ -142,7 +142,7 @@
         test.fail(&sent, Failure::Broken);
         let incarnation = incarnation(sent.upstream, start_times[sent.upstream]);
         test.handle(Event::CrashChecked {
-            crashed: false,
+            ended: false,
             incarnation,
         });
         start_times[sent.upstream] += 5;
@@ -317,14 +317,11 @@
     let released = |test: &mut Test| {
         test.now = test.now.after(25 * 3_600_000);
         test.handle(Event::Tick);
-        let witnessed = |effect: &Effect| match effect {
-            Effect::Quarantine(effect::Quarantine::Release { witnessed, .. }) => Some(*witnessed),
+        let own = |effect: &Effect| match effect {
+            Effect::Quarantine(effect::Quarantine::Release { own, .. }) => Some(*own),
             _ => None,
         };
-        test.effects
-            .iter()
-            .filter_map(witnessed)
-            .collect::<Vec<bool>>()
+        test.effects.iter().filter_map(own).collect::<Vec<bool>>()
     };
     let mut observer = Test::new(9);
     crash_upstreams(&mut observer, 3);
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -18,7 +18,7 @@
     let ended = tried.is_ok_and(|tried| tried.is_err_and(|error| refused(&error)));
     debug!(ended; "{address}: checked whether it has ended");
     driver.event(Event::CrashChecked {
-        crashed: ended,
+        ended,
         incarnation: life,
     });
 }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -314,11 +314,8 @@
                 };
                 self.reply(caller, reply);
             }
-            Effect::GossipDemand {
-                demand,
-                urgent: pressed,
-            } => {
-                self.tell_others(gossip::Told::Demand { demand, pressed });
+            Effect::GossipDemand { demand, urgent } => {
+                self.tell_others(gossip::Told::Demand { demand, urgent });
             }
             Effect::Detach(attempt) => self.abort(attempt),
             Effect::Fail {
@@ -337,16 +334,10 @@
                 position,
                 reason,
             } => self.end(caller, Reply::Finished { position, reason }),
-            Effect::GossipLeaving {
-                incarnation: life,
-                upstream,
-            } => self.leaves(life, &upstream),
+            Effect::GossipLeaving { incarnation, name } => self.leaves(incarnation, &name),
             Effect::LogRequest(note) => note::write(&note),
-            Effect::GossipLimit {
-                incarnation: life,
-                rate,
-            } => {
-                self.tell_others(gossip::Told::Limit { life, rate });
+            Effect::GossipLimit { incarnation, rate } => {
+                self.tell_others(gossip::Told::Limit { incarnation, rate });
             }
             Effect::ForwardHead(caller) => {
                 if let Some(Held::Head(head)) = self.take_held(caller) {
@@ -390,13 +381,13 @@
         match effect {
             effect::Quarantine::CheckCrash {
                 address,
-                incarnation: life,
+                incarnation,
             } => {
-                tokio::spawn(check::run(self.driver.clone(), address, life));
+                tokio::spawn(check::run(self.driver.clone(), address, incarnation));
             }
             effect::Quarantine::Release {
                 fingerprint: print,
-                witnessed: own,
+                own,
             } => {
                 note::free(print);
                 if own {
@@ -409,7 +400,7 @@
             effect::Quarantine::Refuse {
                 evidence: ends,
                 fingerprint: print,
-                witnessed: own,
+                own,
             } => {
                 note::quarantine(print, &ends, own);
                 if own {
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -46,13 +46,13 @@
     Configuration,
     /// What the store has just shown; told to those that watch it for themselves.
     Confirmed(Confirmed),
-    /// What the instance is asked of a pool; it goes along with what else is told. Where `pressed`, it is told
+    /// What the instance is asked of a pool; it goes along with what else is told. Where `urgent`, it is told
     /// within the data centre also alone.
     Demand {
         /// What it is asked.
         demand: Demand,
         /// Whether the pool is near what it can serve.
-        pressed: bool,
+        urgent: bool,
     },
     /// Unplanned ends of upstreams.
     Ends(CrashHistory),
@@ -61,7 +61,7 @@
     /// An upstream named a limit, or names none any more.
     Limit {
         /// The upstream.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// What it takes from all instances together.
         rate: Option<Rate>,
     },
@@ -131,7 +131,7 @@
             members: members.clone(),
             own: self.own.clone(),
             paces: Vec::new(),
-            pressed: BTreeSet::new(),
+            urgent: BTreeSet::new(),
             socket,
             streams,
         };
@@ -288,7 +288,7 @@
     /// What streams showed of engines since the last datagram.
     paces: Vec<peers::Pace>,
     /// Pools that are near what they can serve.
-    pressed: BTreeSet<Arc<str>>,
+    urgent: BTreeSet<Arc<str>>,
     socket: Arc<UdpSocket>,
     streams: watch::Sender<keeper::Streams>,
 }
@@ -350,8 +350,8 @@
     /// what they can serve. Below that what those of the own data centre tell stands for all.
     fn shortened(&self, mut datagram: peers::Datagram) -> peers::Datagram {
         if self.members.borrow().len() >= FEW {
-            let pressed = |demand: &peers::Demand| self.pressed.contains(demand.pool.as_str());
-            datagram.demands.retain(pressed);
+            let urgent = |demand: &peers::Demand| self.urgent.contains(demand.pool.as_str());
+            datagram.demands.retain(urgent);
         }
         datagram
     }
@@ -359,12 +359,12 @@
     /// Keeps what goes along with the next datagrams.
     fn note(&mut self, told: &Told) {
         match told {
-            Told::Demand { demand, pressed } => {
+            Told::Demand { demand, urgent } => {
                 let pool = demand.pool.clone();
-                if *pressed {
-                    self.pressed.insert(pool.clone());
+                if *urgent {
+                    self.urgent.insert(pool.clone());
                 } else {
-                    self.pressed.remove(&pool);
+                    self.urgent.remove(&pool);
                 }
                 self.demands.insert(pool, encode_demand(demand));
             }
@@ -410,7 +410,7 @@
                 let watchers = watchers.into_iter().filter_map(|name| members.get(name));
                 watchers.map(listener).collect()
             }
-            Told::Demand { pressed: false, .. } | Told::Pace(_) => Vec::new(),
+            Told::Demand { urgent: false, .. } | Told::Pace(_) => Vec::new(),
             Told::Configuration | Told::Demand { .. } | Told::Roster(_) => {
                 all.filter(|listener| listener.near).collect()
             }
@@ -451,8 +451,8 @@
                 datagram.confirmed = Some(encode_confirmed(confirmed));
             }
             Told::Leaving(life) => datagram.leaving.push(encode_life(life)),
-            Told::Limit { life, rate } => datagram.limits.push(peers::Limit {
-                life: Some(encode_life(life)),
+            Told::Limit { incarnation, rate } => datagram.limits.push(peers::Limit {
+                life: Some(encode_life(incarnation)),
                 rate: rate.map(|rate| rate.0),
             }),
             Told::Lost(life) => datagram.lost.push(encode_life(life)),
--- a/crates/standin/src/relaying.rs
+++ b/crates/standin/src/relaying.rs
@@ -473,61 +473,38 @@
             }
             Effect::Quarantine(effect::Quarantine::CheckCrash {
                 address,
-                incarnation: life,
+                incarnation,
             }) => {
                 let upstream = &self.upstreams[index(address)];
                 let name = format!("{}-{}", index(address), upstream.life);
-                let runs = upstream.mode != Mode::Down && Incarnation::new(&name, 0) == life;
+                let runs = upstream.mode != Mode::Down && Incarnation::new(&name, 0) == incarnation;
                 let ended = !runs;
-                self.event_soon(
-                    instance,
-                    Event::CrashChecked {
-                        crashed: ended,
-                        incarnation: life,
-                    },
-                );
+                self.event_soon(instance, Event::CrashChecked { ended, incarnation });
             }
             Effect::Quarantine(effect::Quarantine::Publish(account)) => {
                 self.instances[instance].account = (account.digest(), account);
             }
-            Effect::Quarantine(effect::Quarantine::Refuse {
-                evidence: ends,
-                witnessed: own,
-                ..
-            }) => {
+            Effect::Quarantine(effect::Quarantine::Refuse { evidence, own, .. }) => {
                 if own && self.poison.store {
-                    let _ = self.poison.kept.merge(&ends);
+                    let _ = self.poison.kept.merge(&evidence);
                 }
             }
             Effect::Quarantine(effect::Quarantine::Gossip(news)) => {
                 self.gossip(instance, &Event::CrashReported(news.into()));
             }
-            Effect::GossipDemand { demand, .. } => self.gossip(
-                instance,
-                &Event::PeerDemand {
-                    demand,
-                    from: address(instance),
-                },
-            ),
-            Effect::GossipLeaving {
-                incarnation: life, ..
-            } => self.gossip(instance, &Event::PeerLeaving(life)),
-            Effect::GossipLimit {
-                incarnation: life,
-                rate,
-            } => {
-                self.gossip(
-                    instance,
-                    &Event::PeerLimit {
-                        incarnation: life,
-                        rate,
-                    },
-                );
+            Effect::GossipDemand { demand, .. } => {
+                let from = address(instance);
+                self.gossip(instance, &Event::PeerDemand { demand, from });
+            }
+            Effect::GossipLeaving { incarnation, .. } => {
+                self.gossip(instance, &Event::PeerLeaving(incarnation));
+            }
+            Effect::GossipLimit { incarnation, rate } => {
+                self.gossip(instance, &Event::PeerLimit { incarnation, rate });
             }
             Effect::GossipSpeed(pace) => self.gossip(instance, &Event::PeerSpeed(pace)),
             Effect::EndStream(caller) => {
-                let asker = self.connections.get(&caller).copied();
-                if let Some(asker) = asker
+                if let Some(asker) = self.connections.get(&caller).copied()
                     && self.askers[asker].position != EVENTS
                 {
                     let position = self.askers[asker].position;
--- a/crates/standin/src/rush.rs
+++ b/crates/standin/src/rush.rs
@@ -622,14 +622,8 @@
                 let event = Event::PeerDemand { demand, from };
                 self.spread(instance, &event, pressed);
             }
-            Effect::GossipLimit {
-                incarnation: life,
-                rate,
-            } => {
-                let event = Event::PeerLimit {
-                    incarnation: life,
-                    rate,
-                };
+            Effect::GossipLimit { incarnation, rate } => {
+                let event = Event::PeerLimit { incarnation, rate };
                 for to in (0..self.cores.len()).filter(|to| *to != instance) {
                     if self.random.random::<f64>() >= LOST {
                         let action = Action::Tell(to, event.clone());
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -342,20 +342,13 @@
             }
             Effect::Quarantine(effect::Quarantine::CheckCrash {
                 address,
-                incarnation: life,
+                incarnation,
             }) => {
                 let ended = match self.upstreams[index_of(address)].mode {
                     Mode::CutOut | Mode::Frozen | Mode::Silent => return,
                     mode => mode == Mode::Dead,
                 };
-                self.event(
-                    instance,
-                    3,
-                    Event::CrashChecked {
-                        crashed: ended,
-                        incarnation: life,
-                    },
-                );
+                self.event(instance, 3, Event::CrashChecked { ended, incarnation });
             }
             Effect::Claim { claim, request } => self.claim(instance, &claim, request),
             Effect::Count(counter, count) => {
