--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -247,10 +247,10 @@
             .get(service.pool())
             .map_or(0, |pool| pool.queue.len());
         let bytes = submission.work.bytes() + 4 * u64::from(submission.work.max_tokens());
-        let full = self.held_bytes + bytes > self.settings.held_bytes_max;
+        let is_full = self.held_bytes + bytes > self.settings.held_bytes_max;
         let wait = self.expected_wait(service.pool(), service.priority, customer);
-        let late = !resumed && wait as f64 > MAX_WAIT_FRACTION * service.max_wait_ms as f64;
-        if full || late || queued >= self.settings.queue_max {
+        let is_late = !resumed && wait as f64 > MAX_WAIT_FRACTION * service.max_wait_ms as f64;
+        if is_full || is_late || queued >= self.settings.queue_max {
             return Err(Refusal {
                 kind: Kind::Overloaded,
                 retry_after_ms: Some(self.queue_retry_after_ms(
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -65,7 +65,7 @@
         if is_near_capacity {
             return self.choose_by_service_time(&candidates);
         }
-        self.lowest_cost(key, candidates, &own)
+        self.choose_by_cost(key, candidates, &own)
     }
 
     /// Chooses the upstream that keeps a copy of a stream's KV cache, preferably in another data centre than the stream's own,
@@ -90,7 +90,7 @@
             .partition(|other| self.upstreams[*other].data_centre != home);
         let candidates = if far.is_empty() { near } else { far };
         let candidates = self.upstreams_with_copy_capacity(request, candidates, own);
-        self.lowest_cost(key, candidates, own)
+        self.choose_by_cost(key, candidates, own)
     }
 
     /// Whether an upstream may still hold a copy, as far as is known.
@@ -121,7 +121,7 @@
         candidates
     }
 
-    fn lowest_cost(
+    fn choose_by_cost(
         &mut self,
         key: request::Key,
         mut candidates: Vec<upstream::Key>,
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -9,7 +9,8 @@
 /// A waiting request.
 #[derive(Clone, Debug)]
 struct Entry {
-    finish: u64,
+    /// Virtual finish time.
+    finish_time: u64,
     request: request::Key,
 }
 
@@ -19,7 +20,8 @@
     /// Start of the current backlog; `None` while no request waits.
     backlog_since: Option<Time>,
     customers: BTreeMap<String, VecDeque<Entry>>,
-    finishes: HashMap<String, u64>,
+    /// Virtual finish time of the last request of each customer.
+    finish_times: HashMap<String, u64>,
     length: usize,
     /// Times at which requests of this class were sent, oldest first.
     sent: VecDeque<Time>,
@@ -73,7 +75,7 @@
         self.customers
             .iter()
             .filter(|(name, _)| is_eligible(name))
-            .filter_map(|(name, entries)| Some((entries.front()?.finish, name.as_str())))
+            .filter_map(|(name, entries)| Some((entries.front()?.finish_time, name.as_str())))
             .min()
             .map(|(_, name)| name)
     }
@@ -86,14 +88,16 @@
 
     /// Number of requests that would be sent before a new one of a customer.
     fn ahead(&self, customer: &config::Customer) -> usize {
-        let finish = self.finish(customer);
+        let finish_time = self.finish_time(customer);
         let waiting = self.customers.values().flatten();
-        waiting.filter(|entry| entry.finish <= finish).count()
+        waiting
+            .filter(|entry| entry.finish_time <= finish_time)
+            .count()
     }
 
     /// Virtual finish time of a new request of a customer.
-    fn finish(&self, customer: &config::Customer) -> u64 {
-        let last = self.finishes.get(&customer.name).copied().unwrap_or(0);
+    fn finish_time(&self, customer: &config::Customer) -> u64 {
+        let last = self.finish_times.get(&customer.name).copied().unwrap_or(0);
         last.max(self.virtual_time) + COST_UNIT / u64::from(customer.weight.max(1))
     }
 
@@ -119,10 +123,10 @@
         if entries.is_empty() {
             self.customers.remove(customer);
         }
-        self.virtual_time = self.virtual_time.max(entry.finish);
+        self.virtual_time = self.virtual_time.max(entry.finish_time);
         self.length -= 1;
         if self.length == 0 {
-            self.finishes.clear();
+            self.finish_times.clear();
             self.virtual_time = 0;
             self.backlog_since = None;
         }
@@ -131,12 +135,15 @@
 
     fn push(&mut self, customer: &config::Customer, request: request::Key, now: Time) {
         self.backlog_since.get_or_insert(now);
-        let finish = self.finish(customer);
-        self.finishes.insert(customer.name.clone(), finish);
+        let finish_time = self.finish_time(customer);
+        self.finish_times.insert(customer.name.clone(), finish_time);
         self.customers
             .entry(customer.name.clone())
             .or_default()
-            .push_back(Entry { finish, request });
+            .push_back(Entry {
+                finish_time,
+                request,
+            });
         self.length += 1;
     }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -22,7 +22,7 @@
             return self.choose_relay_upstream(key);
         }
         if self.settings.routing == Routing::Prefix
-            && let Some(upstream) = self.by_prefix(key)
+            && let Some(upstream) = self.choose_by_prefix(key)
         {
             return Some(upstream);
         }
@@ -35,14 +35,16 @@
             return None;
         }
         match self.settings.routing {
-            Routing::Headroom => self.by_headroom(&candidates),
-            Routing::LeastReported => self.least_reported_load(&candidates),
-            Routing::Random => Some(self.pick_random(&candidates)),
+            Routing::Headroom => self.choose_by_headroom(&candidates),
+            Routing::LeastReported => self.choose_by_reported_load(&candidates),
+            Routing::Random => Some(self.choose_at_random(&candidates)),
             Routing::RoundRobin => {
                 self.round_robin_index += 1;
                 Some(candidates[self.round_robin_index % candidates.len()])
             }
-            Routing::Prefix | Routing::TwoChoices => Some(self.less_loaded_of_two(&candidates)),
+            Routing::Prefix | Routing::TwoChoices => {
+                Some(self.choose_less_loaded_of_two(&candidates))
+            }
         }
     }
 
@@ -53,8 +55,30 @@
             .collect()
     }
 
+    /// Usable upstreams for a request, limited to those with free slots if the routing policy considers them.
+    fn candidates(&self, key: request::Key, resume: bool) -> Vec<upstream::Key> {
+        let usable_upstreams = self.usable_upstreams(key);
+        if !self.settings.routing.is_capacity_aware() {
+            return usable_upstreams;
+        }
+        let limit = if resume {
+            1.0
+        } else {
+            1.0 - self.settings.resume_reserve
+        };
+        let free = self.below_utilization(&usable_upstreams, limit);
+        if free.is_empty() && resume {
+            return self.below_utilization(&usable_upstreams, MAX_RESUME_UTILIZATION);
+        }
+        free
+    }
+
+    fn choose_at_random(&mut self, keys: &[upstream::Key]) -> upstream::Key {
+        keys[self.rng.random_range(0..keys.len())]
+    }
+
     /// Chooses at random, weighted by the fraction of slots estimated to be free.
-    fn by_headroom(&mut self, keys: &[upstream::Key]) -> Option<upstream::Key> {
+    fn choose_by_headroom(&mut self, keys: &[upstream::Key]) -> Option<upstream::Key> {
         let headroom = |key: &upstream::Key| (1.0 - self.utilization(*key)).max(f64::EPSILON);
         let total: f64 = keys.iter().map(headroom).sum();
         let headrooms: Vec<f64> = keys.iter().map(headroom).collect();
@@ -70,11 +94,11 @@
 
     /// Chooses the first upstream below the utilization limit among those ranked highest for the prompt's prefix. All
     /// instances rank alike, so a prefix is computed by few upstreams and found in their cache by all.
-    fn by_prefix(&self, key: request::Key) -> Option<upstream::Key> {
+    fn choose_by_prefix(&self, key: request::Key) -> Option<upstream::Key> {
         let Work::Generate { prefix, .. } = self.requests[key].work else {
             return None;
         };
-        let mut ranked = self.usable(key);
+        let mut ranked = self.usable_upstreams(key);
         ranked.sort_unstable_by_key(|key| {
             rendezvous_rank(prefix, self.upstreams[*key].incarnation.id)
         });
@@ -84,25 +108,7 @@
             .find(|key| self.utilization(*key) < MAX_PREFIX_UTILIZATION)
     }
 
-    /// Usable upstreams for a request, limited to those with free slots if the routing policy considers them.
-    fn candidates(&self, key: request::Key, resume: bool) -> Vec<upstream::Key> {
-        let usable = self.usable(key);
-        if !self.settings.routing.is_capacity_aware() {
-            return usable;
-        }
-        let limit = if resume {
-            1.0
-        } else {
-            1.0 - self.settings.resume_reserve
-        };
-        let free = self.below_utilization(&usable, limit);
-        if free.is_empty() && resume {
-            return self.below_utilization(&usable, MAX_RESUME_UTILIZATION);
-        }
-        free
-    }
-
-    fn least_reported_load(&self, keys: &[upstream::Key]) -> Option<upstream::Key> {
+    fn choose_by_reported_load(&self, keys: &[upstream::Key]) -> Option<upstream::Key> {
         let reported = |key: &upstream::Key| {
             let upstream = &self.upstreams[*key];
             (upstream.load.running + upstream.load.waiting) * 1_000 / upstream.slots()
@@ -111,9 +117,9 @@
     }
 
     /// Of two upstreams chosen at random, returns the one with the lower estimated utilization.
-    fn less_loaded_of_two(&mut self, keys: &[upstream::Key]) -> upstream::Key {
-        let first = self.pick_random(keys);
-        let second = self.pick_random(keys);
+    fn choose_less_loaded_of_two(&mut self, keys: &[upstream::Key]) -> upstream::Key {
+        let first = self.choose_at_random(keys);
+        let second = self.choose_at_random(keys);
         if self.utilization(second) < self.utilization(first) {
             second
         } else {
@@ -121,12 +127,8 @@
         }
     }
 
-    fn pick_random(&mut self, keys: &[upstream::Key]) -> upstream::Key {
-        keys[self.rng.random_range(0..keys.len())]
-    }
-
     /// Upstreams of the request's pool that accept work and have no attempt of the request yet.
-    fn usable(&self, key: request::Key) -> Vec<upstream::Key> {
+    fn usable_upstreams(&self, key: request::Key) -> Vec<upstream::Key> {
         if self.now < self.list_stale_until {
             return Vec::new();
         }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -30,7 +30,12 @@
     }
 
     /// Handles the normal end of a generation's stream.
-    pub(crate) fn handle_finished(&mut self, key: attempt::Key, position: u32, reason: String) {
+    pub(crate) fn handle_generation_finished(
+        &mut self,
+        key: attempt::Key,
+        position: u32,
+        reason: String,
+    ) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
