--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -71,6 +71,7 @@
 pub struct Core {
     pub(crate) attempts: SlotMap<attempt::Key, Attempt>,
     pub(crate) callers: HashMap<request::Caller, request::Key>,
+    /// Requests whose claim is retried, each with the time of the retry.
     pub(crate) claim_retries: Vec<(Time, request::Key)>,
     pub(crate) config: Option<Arc<Config>>,
     /// Evidence against requests that crash their upstreams.
@@ -83,7 +84,9 @@
     /// When requests were last checked for expiry.
     pub(crate) expiry_checked_at: Time,
     pub(crate) hedge_budget: Budget,
+    /// Bytes that all running requests count towards the memory limit.
     pub(crate) held_bytes: u64,
+    /// Number of instances in the fleet.
     pub(crate) instances: u32,
     /// When the list of upstreams was last read from the store; `None` before the first read.
     pub(crate) list_read_at: Option<Time>,
@@ -100,9 +103,12 @@
     /// Notices of upstreams that are no longer listed.
     pub(crate) retained_states: notice::RetainedStates,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) round_robin_index: usize,
+    /// Number of choices of an upstream by round robin.
+    pub(crate) round_robin_count: usize,
+    /// Number of running requests by customer.
     pub(crate) running_by_customer: HashMap<String, u32>,
     pub(crate) secret: cursor::Secret,
+    /// Ranks the upstreams that this instance works with.
     pub(crate) seed: u64,
     pub(crate) settings: Settings,
     /// Streams that other instances reported.
@@ -223,7 +229,7 @@
             resumed_at: Time::default(),
             retained_states: notice::RetainedStates::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            round_robin_index: 0,
+            round_robin_count: 0,
             running_by_customer: HashMap::new(),
             secret,
             seed,
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -151,7 +151,7 @@
             return;
         };
         self.hedge_budget
-            .share(self.instances, self.settings.shared.least);
+            .set_share(self.instances, self.settings.shared.least);
         if !self.hedge_budget.spend(self.now) {
             return;
         }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -105,7 +105,7 @@
     BackedOff,
     /// It is no longer listed and runs nothing.
     Gone,
-    /// Its version differs from the one in force, so it receives no requests.
+    /// Its version is not the active one of its pool, so it receives no requests.
     Held,
     /// It is leaving.
     Leaving,
@@ -117,7 +117,7 @@
     New,
     /// It receives requests again.
     Recovered,
-    /// It is no longer held back because of its version.
+    /// It is no longer held back for its version.
     Released,
     /// A different upstream listens at its address.
     Replaced,
@@ -276,7 +276,7 @@
     GossipDemand {
         /// The demand.
         demand: Demand,
-        /// Whether the pool is at its capacity, so that all instances need the update at once.
+        /// Whether the pool is nearly at its capacity, so that all instances need the update at once.
         urgent: bool,
     },
     /// Broadcast to other instances that an upstream is leaving.
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -206,7 +206,7 @@
             return false;
         };
         pool.retry_budget
-            .share(self.instances, self.settings.shared.least);
+            .set_share(self.instances, self.settings.shared.least);
         pool.retry_budget.spend(self.now)
     }
 
--- a/crates/core/src/informer.rs
+++ b/crates/core/src/informer.rs
@@ -39,8 +39,8 @@
 const REORDER_WINDOW_MS: u64 = 150;
 
 /// Pauses before the reads of a configuration that peers are known to have, in milliseconds. These reads are
-/// serializable: they may be some hundred milliseconds old in simulation and cost a tenth. The read after them is
-/// linearizable. The first pause lets more changes accumulate.
+/// serializable: they may be some hundred milliseconds old in simulation, and cost a tenth of linearizable ones.
+/// The read after them is linearizable. The first pause lets more changes accumulate.
 const READ_PAUSES_MS: [u64; 2] = [200, 300];
 
 /// Sum of [`READ_PAUSES_MS`].
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -25,8 +25,8 @@
 const DATAGRAM_DELAY_MS: u64 = 50;
 
 /// Minimum time between two returns of the store for the second to end a distinct outage, in milliseconds: two
-/// heartbeats of upstreams, the shortest outage in which entries may expire. Instances see one return less than that
-/// apart.
+/// heartbeats of upstreams, the shortest outage in which entries may expire. Instances observe the same return
+/// less than that apart.
 const DISTINCT_RETURN_MS: u64 = 2_400;
 
 /// The same for two returns that this instance saw itself, in milliseconds: slightly more than the grace period after
@@ -443,7 +443,7 @@
         let ended = now.before(availability::GRACE_MS);
         let to = availability
             .exclude_uptime(*outage, uptime)
-            .map_or(ended, |departure| departure.to);
+            .map_or(ended, |remaining| remaining.to);
         outage.to = outage.to.min(to);
         outage.from = outage.from.min(outage.to);
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -39,8 +39,8 @@
             Routing::LeastReported => self.choose_by_reported_load(&candidates),
             Routing::Random => Some(self.choose_at_random(&candidates)),
             Routing::RoundRobin => {
-                self.round_robin_index += 1;
-                Some(candidates[self.round_robin_index % candidates.len()])
+                self.round_robin_count += 1;
+                Some(candidates[self.round_robin_count % candidates.len()])
             }
             Routing::Prefix | Routing::TwoChoices => {
                 Some(self.choose_less_loaded_of_two(&candidates))
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -122,8 +122,8 @@
     pub far: f64,
     /// A full memory; a partly filled one costs that fraction.
     pub memory: f64,
-    /// An upstream without a sign of life since all others of its data centre were lost; if a
-    /// fraction of them was lost, it costs that fraction. Racks and data centres fail together, and
+    /// An upstream not heard from since all others of its data centre were lost; if a fraction of
+    /// them was lost, it costs that fraction. Racks and data centres fail together, and
     /// each attempt costs time.
     pub outage: f64,
     /// Each prompt in prefill: it holds up every stream of its upstream.
@@ -181,7 +181,7 @@
     /// tried.
     pub hopeless: f64,
     /// Fraction of an upstream's memory up to which it is given streams that can no longer start in
-    /// time: they take what others leave.
+    /// time: they use spare capacity only.
     pub late_fill: f64,
     /// Number of concurrent prefills of an upstream: one, and another so that it is not idle
     /// between them.
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -17,7 +17,7 @@
 /// list shows whether the upstream was restarted.
 const PENDING_MS: u64 = 8_000;
 
-/// Crashes from which on a request is kept apart from all others.
+/// Number of crashes after which a request is kept apart from all others.
 const ISOLATION_CRASHES: usize = 2;
 
 /// Broken connections to an upstream that is not known to have crashed.
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -138,7 +138,7 @@
 impl Upstream {
     /// Requests estimated to be running or queued there: the last report plus this instance's changes since.
     ///
-    /// The anchor and local count follow the `RouteGrail` paper.
+    /// The combination of report and local count follows the `RouteGrail` paper.
     pub fn estimated_load(&self) -> u32 {
         let reported = i64::from(self.load.running + self.load.waiting) + self.unreported;
         (reported.max(0) as u32).max(self.attempts.len() as u32)
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -334,12 +334,12 @@
         let mut last: HashMap<SocketAddr, Position> = HashMap::new();
         let is_served = |upstream: &&Upstream| pools.contains(&*upstream.pool);
         for upstream in self.upstreams.values().filter(is_served) {
-            let since = last.entry(upstream.address).or_default();
-            *since = upstream.registered_at.max(*since);
+            let last_position = last.entry(upstream.address).or_default();
+            *last_position = upstream.registered_at.max(*last_position);
         }
         let is_replaced = |(_, upstream): &(upstream::Key, &Upstream)| {
-            let since = last.get(&upstream.address);
-            since.is_some_and(|since| upstream.registered_at < *since)
+            let last_position = last.get(&upstream.address);
+            last_position.is_some_and(|position| upstream.registered_at < *position)
         };
         let replaced: Vec<upstream::Key> = self
             .upstreams
--- a/crates/core/tests/queue.rs
+++ b/crates/core/tests/queue.rs
@@ -108,7 +108,7 @@
     let mut at_once = 0;
     let mut later = 0;
     for budget in &mut budgets {
-        budget.share(instances, 1.0);
+        budget.set_share(instances, 1.0);
         while budget.spend(Time(600_000)) {
             at_once += 1;
         }
