--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     /// Demand of all instances.
-    pub demands: DemandTracker,
+    pub demand: DemandTracker,
     /// Speed of its upstreams, and how long they have had no free capacity.
     pub estimates: PoolEstimates,
     /// Moving average of the time from sending a request to its end, in milliseconds.
@@ -43,7 +43,7 @@
 impl Default for Pool {
     fn default() -> Self {
         Self {
-            demands: DemandTracker::default(),
+            demand: DemandTracker::default(),
             estimates: PoolEstimates::default(),
             mean_duration_ms: INITIAL_DURATION_MS,
             queue: Queue::default(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// A request that arrived before this instance had the state that serving it takes.
+/// A request that arrived before this instance had the state to serve it.
 #[derive(Clone, Debug)]
 pub(crate) struct DeferredRequest {
     /// When it arrived.
@@ -71,46 +71,53 @@
 pub struct Core {
     pub(crate) attempts: SlotMap<attempt::Key, Attempt>,
     pub(crate) callers: HashMap<request::Caller, request::Key>,
+    /// Requests whose claim is retried, each with the time of the retry.
     pub(crate) claim_retries: Vec<(Time, request::Key)>,
     pub(crate) config: Option<Arc<Config>>,
+    /// Evidence against requests that crash their upstreams.
+    pub(crate) crash_suspects: CrashSuspects,
     /// Data centre that this instance runs in; empty if there is no preference.
     pub(crate) data_centre: Arc<str>,
     /// Requests that arrived before this instance had the state to serve them.
     pub(crate) deferred: Vec<DeferredRequest>,
     pub(crate) effects: Vec<Effect>,
+    /// When requests were last checked for expiry.
+    pub(crate) expiry_checked_at: Time,
     pub(crate) hedge_budget: Budget,
+    /// Bytes that all running requests count towards the memory limit.
     pub(crate) held_bytes: u64,
+    /// Number of instances in the fleet.
     pub(crate) instances: u32,
     /// When the list of upstreams was last read from the store; `None` before the first read.
     pub(crate) list_read_at: Option<Time>,
     /// Time until which the list counts as stale, after a pause of this process.
     pub(crate) list_stale_until: Time,
-    /// Upstreams by incarnation; at most one of each name.
-    pub(crate) lives: sighting::UpstreamsByIncarnation,
     /// Timeouts of the callers of each service.
     pub(crate) longest_timeouts: HashMap<String, timeout::LongestTimeout>,
     pub(crate) members: Members,
     pub(crate) now: Time,
     pub(crate) pools: BTreeMap<Arc<str>, Pool>,
     pub(crate) requests: SlotMap<request::Key, Request>,
+    /// When this process last resumed after a pause.
+    pub(crate) resumed_at: Time,
+    /// Notices of upstreams that are no longer listed.
+    pub(crate) retained_states: notice::RetainedStates,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) rotation: usize,
-    pub(crate) running: HashMap<String, u32>,
+    /// Number of choices of an upstream by round robin.
+    pub(crate) round_robin_count: usize,
+    /// Number of running requests by customer.
+    pub(crate) running_by_customer: HashMap<String, u32>,
     pub(crate) secret: cursor::Secret,
+    /// Ranks the upstreams that this instance works with.
     pub(crate) seed: u64,
     pub(crate) settings: Settings,
     /// Streams that other instances reported.
-    pub(crate) sightings: sighting::Sightings,
-    /// Notices of upstreams that are no longer listed.
-    pub(crate) retained_states: notice::RetainedStates,
+    pub(crate) stream_records: stream_record::StreamRecords,
     /// Whether all streams that were stored before its start have been reported.
     pub(crate) streams_restored: bool,
-    /// Evidence against requests that crash their upstreams.
-    pub(crate) crash_suspects: CrashSuspects,
-    pub(crate) swept_at: Time,
     pub(crate) upstreams: SlotMap<upstream::Key, Upstream>,
-    /// When this process last resumed after a pause.
-    pub(crate) woken_at: Time,
+    /// Upstreams by incarnation; at most one of each name.
+    pub(crate) upstreams_by_incarnation: stream_record::UpstreamsByIncarnation,
 }
 
 impl Core {
@@ -133,7 +140,7 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
-        self.sightings.advance(self.now);
+        self.stream_records.advance(self.now);
         if gap > self.settings.pause_ms {
             self.resume_after_pause(gap);
         }
@@ -142,14 +149,16 @@
             Event::CallerGone(caller) => self.handle_caller_gone(caller),
             Event::Claimed { outcome, request } => self.handle_claim_outcome(request, outcome),
             Event::Config(config) => self.apply_config(config),
-            Event::CrashChecked { ended, life } => self.apply_crash_check(life, ended),
-            Event::CrashReported(account) => self.merge_crashes(&account),
+            Event::CrashChecked { ended, incarnation } => {
+                self.apply_crash_check(incarnation, ended);
+            }
+            Event::CrashReported(reported) => self.merge_crashes(&reported),
             Event::Failed { attempt, failure } => self.handle_failure(attempt, failure),
             Event::GenerationFinished {
                 attempt,
                 position,
                 reason,
-            } => self.handle_finished(attempt, position, reason),
+            } => self.handle_generation_finished(attempt, position, reason),
             Event::Instances(view) => self.update_members(view),
             Event::Leaving(name) => self.apply_leaving_hint(&name),
             Event::List {
@@ -163,11 +172,11 @@
                 upstream,
             } => self.apply_notice(upstream, attempt, &notice),
             Event::PeerDemand { demand, from } => self.record_peer_demand(from, &demand),
-            Event::PeerLeaving(life) => self.apply_peer_leaving(life),
-            Event::PeerLimit { life, rate } => self.apply_peer_limit(life, rate),
-            Event::PeerLoss(life) => self.record_peer_loss(life),
-            Event::PeerPace(pace) => self.record_peer_pace(&pace),
-            Event::PeerStream(sighting) => self.record_peer_stream(sighting),
+            Event::PeerLeaving(incarnation) => self.apply_peer_leaving(incarnation),
+            Event::PeerLimit { incarnation, rate } => self.apply_peer_limit(incarnation, rate),
+            Event::PeerLoss(incarnation) => self.record_peer_loss(incarnation),
+            Event::PeerSpeed(speed) => self.record_peer_speed(&speed),
+            Event::PeerStream(record) => self.record_peer_stream(record),
             Event::PiggybackedLoad { attempt, load } => self.apply_piggybacked_load(attempt, load),
             Event::Probed { alive, upstream } => self.apply_probe_result(upstream, alive),
             Event::Replied {
@@ -182,7 +191,7 @@
                 position,
             } => self.handle_stream_event(attempt, position, bytes),
             Event::StreamOpened(attempt) => self.handle_stream_opened(attempt),
-            Event::StreamsRestored => self.streams_restored(),
+            Event::StreamsRestored => self.handle_streams_restored(),
             Event::Submit(submission) => self.submit(*submission),
             Event::Tick => self.tick(),
             Event::Tokens {
@@ -202,33 +211,33 @@
             callers: HashMap::new(),
             claim_retries: Vec::new(),
             config: None,
+            crash_suspects: CrashSuspects::default(),
             data_centre: Arc::from(""),
             deferred: Vec::new(),
             effects: Vec::new(),
+            expiry_checked_at: now,
             hedge_budget: Budget::new(BUDGET_PERMITS, BUDGET_REFILL_PER_SECOND, now),
             held_bytes: 0,
             instances: 1,
             list_read_at: None,
             list_stale_until: Time::default(),
-            lives: BTreeMap::new(),
             longest_timeouts: HashMap::new(),
             members: Members::default(),
             now,
             pools: BTreeMap::new(),
             requests: SlotMap::with_key(),
+            resumed_at: Time::default(),
+            retained_states: notice::RetainedStates::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            rotation: 0,
-            running: HashMap::new(),
+            round_robin_count: 0,
+            running_by_customer: HashMap::new(),
             secret,
             seed,
             settings,
-            sightings: sighting::Sightings::default(),
-            retained_states: notice::RetainedStates::default(),
+            stream_records: stream_record::StreamRecords::default(),
             streams_restored: true,
-            crash_suspects: CrashSuspects::default(),
-            swept_at: now,
             upstreams: SlotMap::with_key(),
-            woken_at: Time::default(),
+            upstreams_by_incarnation: BTreeMap::new(),
         }
     }
 
@@ -296,9 +305,9 @@
         let upstream = upstream.and_then(|key| self.upstreams.get(key));
         Effect::LogRequest(effect::RequestLog {
             customer: request.customer.clone(),
+            fingerprint: request.request_fingerprint,
             generation: request.generation,
             position: request.position(),
-            print: request.print,
             run: request.work.relay().map(|relay| relay.run.clone()),
             service: request.service.clone(),
             upstream: upstream.map(|upstream| upstream.name.clone()),
@@ -313,10 +322,10 @@
         self.check_invariant(unanswered, Invariant::AnsweredTwice);
         self.held_bytes -= request.held_bytes;
         let customer = &request.customer.name;
-        if let Some(running) = self.running.get_mut(customer) {
+        if let Some(running) = self.running_by_customer.get_mut(customer) {
             *running -= 1;
             if *running == 0 {
-                self.running.remove(customer);
+                self.running_by_customer.remove(customer);
             }
         }
         if let Some(pool) = self.pools.get_mut(request.service.pool()) {
--- a/crates/core/src/counter.rs
+++ b/crates/core/src/counter.rs
@@ -30,12 +30,12 @@
     PeerLimit,
     /// Responses in which the upstream announced that it is leaving.
     NoticeLeaving,
-    /// Responses in which the upstream named a rate limit.
+    /// Responses in which the upstream announced a rate limit.
     NoticeLimit,
     /// Responses with an unparsable backoff time or rate limit.
     NoticeInvalid,
-    /// Responses in which the upstream asked for a backoff.
-    NoticeRest,
+    /// Responses in which the upstream requested a backoff.
+    NoticeBackoff,
     /// Responses with an unknown notice from the upstream.
     NoticeUnknown,
     /// Detected pauses of this instance.
@@ -126,7 +126,7 @@
             Self::NoticeInvalid => write!(formatter, "notice.odd"),
             Self::NoticeLeaving => write!(formatter, "notice.leaving"),
             Self::NoticeLimit => write!(formatter, "notice.limit"),
-            Self::NoticeRest => write!(formatter, "notice.rest"),
+            Self::NoticeBackoff => write!(formatter, "notice.rest"),
             Self::NoticeUnknown => write!(formatter, "notice.unknown"),
             Self::Paused => write!(formatter, "paused"),
             Self::PeerLeaving => write!(formatter, "notice.told"),
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -57,7 +57,7 @@
         adapter: String,
         /// How long the engine keeps the stream without a reader, in milliseconds.
         linger_ms: u64,
-        /// Maximum number of tokens in the whole answer.
+        /// Maximum number of tokens in the whole response.
         max_tokens: u32,
         /// Model.
         model: Arc<config::Model>,
@@ -75,7 +75,7 @@
 /// Step in the life cycle of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// The answer is complete.
+    /// The response is complete.
     Answered,
     /// The request was re-attached to its running stream.
     Attached,
@@ -83,7 +83,7 @@
     Failed(Kind),
     /// The caller disconnected.
     Left,
-    /// An attempt ended without a complete answer.
+    /// An attempt ended without a complete response.
     Lost(counter::Reason),
     /// The request was sent to an upstream.
     Sent {
@@ -101,13 +101,13 @@
 /// Change in the status of an upstream, as this instance sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatusChange {
-    /// It failed and receives no new requests for a while.
-    Doubted,
+    /// It requested a backoff from this instance.
+    BackedOff,
     /// It is no longer listed and runs nothing.
     Gone,
-    /// Its version differs from the one in force, so it receives no requests.
+    /// Its version is not the active one of its pool, so it receives no requests.
     Held,
-    /// It is draining.
+    /// It is leaving.
     Leaving,
     /// It announced a rate limit that all instances share.
     Limited,
@@ -115,16 +115,16 @@
     Lost,
     /// It is listed for the first time.
     New,
-    /// It is no longer held back because of its version.
+    /// It receives requests again.
+    Recovered,
+    /// It is no longer held back for its version.
     Released,
     /// A different upstream listens at its address.
     Replaced,
-    /// It asked for a period without requests from this instance.
-    Resting,
     /// It restarted under the same name and counts as a new incarnation.
     Restarted,
-    /// It receives requests again.
-    Trusted,
+    /// It failed and receives no new requests for a while.
+    Suspected,
     /// It no longer announces a rate limit.
     Unlimited,
 }
@@ -134,12 +134,12 @@
 pub struct RequestLog {
     /// Customer.
     pub customer: Arc<config::Customer>,
+    /// Fingerprint that all attempts of a caller at the same request share.
+    pub fingerprint: RequestFingerprint,
     /// Identifier of the request.
     pub generation: u128,
     /// Number of tokens delivered, or position of the last event that the caller received.
     pub position: u32,
-    /// Fingerprint that all attempts of a caller at the same request share.
-    pub print: RequestFingerprint,
     /// Name of the run at upstreams; `None` unless the request is relayed.
     pub run: Option<Arc<str>>,
     /// Service.
@@ -154,18 +154,18 @@
     /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Doubted => "doubted",
+            Self::BackedOff => "resting",
             Self::Gone => "gone",
             Self::Held => "held",
             Self::Leaving => "leaving",
             Self::Limited => "limited",
             Self::Lost => "lost",
             Self::New => "new",
+            Self::Recovered => "trusted",
             Self::Released => "released",
             Self::Replaced => "replaced",
-            Self::Resting => "resting",
             Self::Restarted => "restarted",
-            Self::Trusted => "trusted",
+            Self::Suspected => "doubted",
             Self::Unlimited => "unlimited",
         }
     }
@@ -179,7 +179,7 @@
         /// Address that it listens on.
         address: SocketAddr,
         /// Its incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
     },
     /// Broadcast crashes of upstreams to other instances.
     Gossip(CrashHistory),
@@ -189,19 +189,19 @@
     /// all instances.
     Refuse {
         /// The crashes that led to the refusal.
-        ends: CrashHistory,
+        evidence: CrashHistory,
+        /// Fingerprint of the request.
+        fingerprint: RequestFingerprint,
         /// Whether this instance observed one of the crashes itself.
         own: bool,
-        /// Fingerprint of the request.
-        print: RequestFingerprint,
     },
     /// Log that a request is no longer refused, and delete the persisted refusal: another request
     /// explains the crashes, or they expired.
     Release {
+        /// Fingerprint of the request.
+        fingerprint: RequestFingerprint,
         /// Whether this instance observed one of the crashes itself, and so persisted the refusal.
         own: bool,
-        /// Fingerprint of the request.
-        print: RequestFingerprint,
     },
 }
 
@@ -256,7 +256,7 @@
     Finish {
         /// The caller.
         caller: request::Caller,
-        /// Number of tokens in the answer.
+        /// Number of tokens in the response.
         position: u32,
         /// Finish reason given by the engine.
         reason: String,
@@ -276,29 +276,29 @@
     GossipDemand {
         /// The demand.
         demand: Demand,
-        /// Whether the pool is close to its capacity, so that others need the update soon.
-        pressed: bool,
+        /// Whether the pool is nearly at its capacity, so that all instances need the update at once.
+        urgent: bool,
     },
-    /// Broadcast to other instances that an upstream is draining.
+    /// Broadcast to other instances that an upstream is leaving.
     GossipLeaving {
         /// Its incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Its name.
-        upstream: Arc<str>,
+        name: Arc<str>,
     },
     /// Broadcast to other instances the rate limit that an upstream sets for all of them together.
     GossipLimit {
         /// Its incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// The limit; `None` if it no longer announces one.
         rate: Option<limit::Rate>,
     },
     /// Broadcast to other instances that an upstream was lost.
     GossipLost(Incarnation),
     /// Broadcast to other instances how fast the engines of a pool are.
-    GossipPace(EngineSpeed),
+    GossipSpeed(EngineSpeed),
     /// Broadcast the state of a relayed stream to other instances.
-    GossipStream(Sighting),
+    GossipStream(StreamRecord),
     /// Log a step in the life cycle of a request.
     LogRequest(RequestLog),
     /// Log that the status of an upstream changed.
--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl Core {
-    /// Handles an attempt that ended without a complete answer.
+    /// Handles an attempt that ended without a complete response.
     pub(crate) fn handle_failure(&mut self, key: attempt::Key, failure: Failure) {
         let Some(attempt) = self.remove_attempt(key) else {
             self.count(Counter::FrameLate);
@@ -115,7 +115,7 @@
             return;
         };
         self.log_step(&request, effect::Step::Failed(kind), None);
-        self.gossip_end(&request, sighting::Stage::Left);
+        self.gossip_end(&request, stream_record::Stage::Left);
         let pool = request.service.pool();
         if request.progress.is_open {
             self.count(Counter::Refused(kind));
@@ -134,8 +134,8 @@
         let retry_after_ms = kind.answer().retry.then(|| match request.work {
             Work::Relay(_) => self.retry_after_ms(&request),
             Work::Call { .. } | Work::Generate { .. } => {
-                let rest = self.backoff_retry_after(&request);
-                rest.unwrap_or_else(|| {
+                let backoff_ms = self.backoff_retry_after_ms(&request);
+                backoff_ms.unwrap_or_else(|| {
                     self.queue_retry_after_ms(pool, request.service.priority, &request.customer)
                 })
             }
@@ -157,7 +157,7 @@
         if !request.attempts.is_empty() || request.state == State::Claiming {
             return;
         }
-        if self.is_quarantined(request.print) {
+        if self.is_quarantined(request.request_fingerprint) {
             self.refuse_quarantined(key);
             return;
         }
@@ -206,7 +206,7 @@
             return false;
         };
         pool.retry_budget
-            .share(self.instances, self.settings.shared.least);
+            .set_share(self.instances, self.settings.shared.least);
         pool.retry_budget.spend(self.now)
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,9 @@
 //!
 //! [`core::Core`] takes one [`event::Event`] at a time together with the current [`clock::Time`]
 //! and answers with a list of [`effect::Effect`]. It reads no clock, opens no socket and starts no
-//! thread, so the same settings, seed and events always give the same effects.
+//! thread, so the same settings, seed and events always give the same effects. The driver, in
+//! another crate, delivers the events and carries out the effects. Its edge accepts the callers'
+//! connections, and holds the bytes of relayed requests and responses, which the core never sees.
 
 pub mod attempt;
 pub mod availability;
@@ -35,9 +37,9 @@
 pub mod role;
 pub mod roster;
 pub mod settings;
-pub mod sighting;
 pub mod staleness;
 pub mod store_calls;
+pub mod stream_record;
 pub mod upstream;
 
 mod admission;
@@ -88,7 +90,6 @@
     role::{Role, WatcherRank},
     roster::{Change, Roster, RosterUpdate, UpdateOutcome},
     settings::{QuarantineRule, ResumeMode, Routing, Settings},
-    sighting::Sighting,
     slotmap::{SecondaryMap, SlotMap, new_key_type},
     staleness::StalenessBound,
     std::{
@@ -99,6 +100,7 @@
         sync::Arc,
     },
     store_calls::StoreCalls,
+    stream_record::StreamRecord,
     suspicion::CrashSuspects,
     upstream::{Health, Load, Upstream},
     usage::{OwnUsage, Usage},
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -112,7 +112,7 @@
         self.record_activity(key);
         if first {
             self.record_prefill(key);
-            self.gossip_attempt(key, sighting::Stage::Streaming);
+            self.gossip_attempt(key, stream_record::Stage::Streaming);
         }
         let request = &mut self.requests[owner];
         let is_only_attempt = request.attempts == [key];
@@ -169,38 +169,39 @@
         let Some(pool) = self.pools.get_mut(&name).filter(|_| is_full_prefill) else {
             return;
         };
-        let pace = pool
+        let speed = pool
             .estimates
             .record_prefill(name, attempt.ahead_tokens, duration, self.now);
-        if let Some(pace) = pace.filter(|_| self.settings.shared.paces) {
-            self.effects.push(Effect::GossipPace(pace));
+        if let Some(speed) = speed.filter(|_| self.settings.shared.paces) {
+            self.effects.push(Effect::GossipSpeed(speed));
         }
     }
 
     /// Records the speed of a pool's engines as reported by another instance.
-    pub(crate) fn record_peer_pace(&mut self, pace: &EngineSpeed) {
-        let pool = self.pools.entry(pace.pool.clone()).or_default();
-        pool.estimates.merge_peer_sample(pace);
+    pub(crate) fn record_peer_speed(&mut self, speed: &EngineSpeed) {
+        let pool = self.pools.entry(speed.pool.clone()).or_default();
+        pool.estimates.merge_peer_sample(speed);
     }
 
     /// Records the state of a stream as reported by another instance.
-    pub(crate) fn record_peer_stream(&mut self, sighting: Sighting) {
-        let starts = sighting.stage == sighting::Stage::Started;
-        let upstream = sighting.upstream;
-        let upstream = upstream.and_then(|life| self.lives.get(&life).copied());
-        let mut prefill_ms = sighting::DEFAULT_PREFILL_MS;
+    pub(crate) fn record_peer_stream(&mut self, record: StreamRecord) {
+        let starts = record.stage == stream_record::Stage::Started;
+        let upstream = record.upstream;
+        let upstream = upstream
+            .and_then(|incarnation| self.upstreams_by_incarnation.get(&incarnation).copied());
+        let mut prefill_ms = stream_record::DEFAULT_PREFILL_MS;
         if let Some(upstream) = upstream.filter(|_| starts) {
-            let ahead = self.sightings.usage(upstream).prefill_tokens;
+            let ahead = self.stream_records.usage(upstream).prefill_tokens;
             let name = self.upstreams[upstream].pool.clone();
             let pool = self.pools.entry(name).or_default();
             pool.estimates.record_stream_start(self.now);
-            if let Some(millis) = pool.estimates.known_prefill_ms(ahead + sighting.tokens) {
+            if let Some(millis) = pool.estimates.known_prefill_ms(ahead + record.tokens) {
                 prefill_ms = millis;
             }
         }
-        let lives = &self.lives;
-        self.sightings
-            .add(sighting, false, prefill_ms, lives, self.now);
+        let upstreams = &self.upstreams_by_incarnation;
+        self.stream_records
+            .add(record, false, prefill_ms, upstreams, self.now);
     }
 
     /// Initial progress of a relayed request. A request that resumes a stream starts after the last
@@ -214,11 +215,13 @@
         if relay.position == 0 {
             return progress;
         }
-        if let Some(sighting) = self.sightings.get(relay.prompt) {
-            let find = |life: Option<Incarnation>| self.lives.get(&life?).copied();
-            progress.preferred_upstream = find(sighting.upstream);
-            progress.copy = find(sighting.backup).map(|upstream| request::KvCopy {
-                run: sighting.run.as_str().into(),
+        if let Some(record) = self.stream_records.get(relay.prompt) {
+            let find = |incarnation: Option<Incarnation>| {
+                self.upstreams_by_incarnation.get(&incarnation?).copied()
+            };
+            progress.preferred_upstream = find(record.upstream);
+            progress.copy = find(record.backup).map(|upstream| request::KvCopy {
+                run: record.run.as_str().into(),
                 upstream,
             });
         }
@@ -260,7 +263,7 @@
         attempt.ahead_tokens = ahead_tokens;
         attempt.copy = copy.filter(|copy| copy.upstream == upstream);
         attempt.backup = backup;
-        self.gossip_attempt(key, sighting::Stage::Started);
+        self.gossip_attempt(key, stream_record::Stage::Started);
     }
 
     /// Handles a relayed attempt that ended without a response.
@@ -315,7 +318,7 @@
 
     /// Retries or resumes a relayed request after its last attempt ended, if that is permitted.
     pub(crate) fn retry_relay(&mut self, key: request::Key, reason: counter::Reason) {
-        if self.is_quarantined(self.requests[key].print) {
+        if self.is_quarantined(self.requests[key].request_fingerprint) {
             self.refuse_quarantined(key);
             return;
         }
@@ -440,27 +443,28 @@
     fn report_loss(&mut self, key: upstream::Key) {
         let upstream = &mut self.upstreams[key];
         upstream.failure_score.record(self.now);
-        self.effects.push(Effect::GossipLost(upstream.life));
+        self.effects.push(Effect::GossipLost(upstream.incarnation));
         self.mark_suspected(key);
     }
 
     /// Records the loss of an upstream as reported by another instance. The cause may be that
     /// instance's own network link, so the report counts as a single failure.
-    pub(crate) fn record_peer_loss(&mut self, life: Incarnation) {
-        if let Some(key) = self.lives.get(&life) {
+    pub(crate) fn record_peer_loss(&mut self, incarnation: Incarnation) {
+        if let Some(key) = self.upstreams_by_incarnation.get(&incarnation) {
             self.upstreams[*key].failure_score.record(self.now);
         }
     }
 
     /// Announces a stream that is being sent or has begun to other instances.
-    fn gossip_attempt(&mut self, key: attempt::Key, stage: sighting::Stage) {
+    fn gossip_attempt(&mut self, key: attempt::Key, stage: stream_record::Stage) {
         let attempt = &self.attempts[key];
-        let life = |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.life);
-        let backup = attempt.backup.and_then(life);
-        let upstream = life(attempt.upstream);
+        let incarnation =
+            |key: upstream::Key| self.upstreams.get(key).map(|upstream| upstream.incarnation);
+        let backup = attempt.backup.and_then(incarnation);
+        let upstream = incarnation(attempt.upstream);
         if let Some(relay) = self.requests[attempt.request].work.relay() {
-            let sighting = relay.sighting(stage, upstream, backup);
-            self.gossip(sighting);
+            let record = relay.stream_record(stage, upstream, backup);
+            self.gossip(record);
         }
     }
 
@@ -468,27 +472,32 @@
     pub(crate) fn gossip_waiting(&mut self, key: request::Key) {
         let request = &self.requests[key];
         if let Some(relay) = request.work.relay() {
-            let mut sighting = relay.sighting(sighting::Stage::Waiting, None, None);
-            sighting.pool = request.service.pool().into();
-            self.gossip(sighting);
+            let mut record = relay.stream_record(stream_record::Stage::Waiting, None, None);
+            record.pool = request.service.pool().into();
+            self.gossip(record);
         }
     }
 
     /// Announces to other instances that a stream ended, or that its caller left.
-    pub(crate) fn gossip_end(&mut self, request: &Request, stage: sighting::Stage) {
+    pub(crate) fn gossip_end(&mut self, request: &Request, stage: stream_record::Stage) {
         if let Some(relay) = request.work.relay() {
-            let sighting = relay.sighting(stage, None, None);
-            self.gossip(sighting);
+            let record = relay.stream_record(stage, None, None);
+            self.gossip(record);
         }
     }
 
-    fn gossip(&mut self, sighting: Sighting) {
-        if sighting.prompt == 0 {
+    fn gossip(&mut self, record: StreamRecord) {
+        if record.prompt == 0 {
             return;
         }
-        self.sightings
-            .add(sighting.clone(), true, 0, &self.lives, self.now);
-        self.effects.push(Effect::GossipStream(sighting));
+        self.stream_records.add(
+            record.clone(),
+            true,
+            0,
+            &self.upstreams_by_incarnation,
+            self.now,
+        );
+        self.effects.push(Effect::GossipStream(record));
     }
 
     /// Completes a relayed request: ends the caller's response with the effect that `last` creates.
@@ -505,7 +514,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.clear_suspicion(request.print);
+        self.clear_suspicion(request.request_fingerprint);
         if !request.progress.is_open {
             let wait = self.now.since(request.arrived_at);
             self.effects.push(Effect::Observe(Timing::Answer, wait));
@@ -517,7 +526,7 @@
                 .record_answer(request.progress.position, relay.max_answer_tokens);
         }
         self.log_step(&request, effect::Step::Answered, Some(upstream));
-        self.gossip_end(&request, sighting::Stage::Ended);
+        self.gossip_end(&request, stream_record::Stage::Ended);
         self.effects.push(last(request.caller));
         self.dispatch_queued(request.service.pool());
     }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -23,7 +23,7 @@
     },
     /// A generation.
     Generate {
-        /// Maximum number of tokens in the answer.
+        /// Maximum number of tokens in the response.
         max_tokens: u32,
         /// Prompt and sampling parameters, in the edge's encoding.
         payload: Arc<[u8]>,
@@ -41,7 +41,7 @@
     pub bytes: u64,
     /// Host that the caller requested.
     pub host: Arc<str>,
-    /// Maximum number of tokens in the answer; 0 if the request sets none.
+    /// Maximum number of tokens in the response; 0 if the request sets none.
     pub max_answer_tokens: u32,
     /// Path without query.
     pub path: Arc<str>,
@@ -54,19 +54,19 @@
     /// How long the caller waits for the complete response, in milliseconds; `None` if it sets no
     /// timeout.
     pub timeout_ms: Option<u64>,
-    /// Number of tokens in the prompt and the longest possible answer.
+    /// Number of tokens in the prompt and the longest possible response.
     pub tokens: u32,
 }
 
 impl Relay {
     /// Report for other instances about the request at a stage of processing.
-    pub fn sighting(
+    pub fn stream_record(
         &self,
-        stage: sighting::Stage,
+        stage: stream_record::Stage,
         upstream: Option<Incarnation>,
         backup: Option<Incarnation>,
-    ) -> Sighting {
-        Sighting {
+    ) -> StreamRecord {
+        StreamRecord {
             backup,
             pool: String::new(),
             prompt: self.prompt,
@@ -112,7 +112,7 @@
 }
 
 impl Work {
-    /// Maximum number of tokens in the answer; 0 unless it is a generation.
+    /// Maximum number of tokens in the response; 0 unless it is a generation.
     pub fn max_tokens(&self) -> u32 {
         match self {
             Self::Call { .. } | Self::Relay(_) => 0,
@@ -200,16 +200,16 @@
     pub follows_peer: bool,
     /// Identifier of the generation.
     pub generation: u128,
-    /// Bytes that count towards the memory limit: the payload and the longest possible answer.
+    /// Bytes that count towards the memory limit: the payload and the longest possible response.
     pub held_bytes: u64,
     /// Number of the last attempt; 0 before the first.
     pub last_attempt: u32,
     /// Whether an upstream may have run it.
     pub may_have_run: bool,
-    /// Fingerprint that all attempts of a caller at the same request share.
-    pub print: RequestFingerprint,
     /// Progress of a relayed response.
     pub progress: RelayProgress,
+    /// Fingerprint that all attempts of a caller at the same request share.
+    pub request_fingerprint: RequestFingerprint,
     /// Cursor to re-attach with; `None` after the attempt to do so.
     pub resume_cursor: Option<Cursor>,
     /// Time by which it must have been sent.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -67,7 +67,7 @@
 /// of them together no more than half of what the limit allows.
 const HOLDERS_PER_REQUEST: f64 = 1.5;
 
-/// Which instances hold a share of the rate limit that an upstream names.
+/// Which instances hold a share of the rate limit that an upstream announces.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitHolders {
     /// All instances; only a baseline for measuring the benefit of `Few`.
@@ -122,8 +122,8 @@
     pub far: f64,
     /// A full memory; a partly filled one costs that fraction.
     pub memory: f64,
-    /// An upstream without a sign of life since all others of its data centre were lost; if a
-    /// fraction of them was lost, it costs that fraction. Racks and data centres fail together, and
+    /// An upstream not heard from since all others of its data centre were lost; if a fraction of
+    /// them was lost, it costs that fraction. Racks and data centres fail together, and
     /// each attempt costs time.
     pub outage: f64,
     /// Each prompt in prefill: it holds up every stream of its upstream.
@@ -181,7 +181,7 @@
     /// tried.
     pub hopeless: f64,
     /// Fraction of an upstream's memory up to which it is given streams that can no longer start in
-    /// time: they take what others leave.
+    /// time: they use spare capacity only.
     pub late_fill: f64,
     /// Number of concurrent prefills of an upstream: one, and another so that it is not idle
     /// between them.
@@ -298,7 +298,7 @@
     pub key_lead_max_ms: u64,
     /// Time for which the report that an upstream is leaving overrides the platform's list.
     pub leaving_hint_ms: u64,
-    /// Which instances hold a share of the rate limit that an upstream names.
+    /// Which instances hold a share of the rate limit that an upstream announces.
     pub limits: LimitHolders,
     /// Time for which an engine keeps a stream without a reader.
     pub linger_ms: u64,
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,4 +1,4 @@
-//! Tokens and answers that upstreams send and callers receive.
+//! Tokens and responses that upstreams send and callers receive.
 
 use super::*;
 
@@ -24,13 +24,18 @@
         }
         if let Some(request) = self.remove(key) {
             self.log_step(&request, effect::Step::Left, None);
-            self.gossip_end(&request, sighting::Stage::Left);
+            self.gossip_end(&request, stream_record::Stage::Left);
             self.dispatch_queued(request.service.pool());
         }
     }
 
     /// Handles the normal end of a generation's stream.
-    pub(crate) fn handle_finished(&mut self, key: attempt::Key, position: u32, reason: String) {
+    pub(crate) fn handle_generation_finished(
+        &mut self,
+        key: attempt::Key,
+        position: u32,
+        reason: String,
+    ) {
         let Some(attempt) = self.attempts.get(key) else {
             self.count(Counter::FrameLate);
             return;
@@ -52,7 +57,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.clear_suspicion(request.print);
+        self.clear_suspicion(request.request_fingerprint);
         self.log_step(&request, effect::Step::Answered, Some(attempt_upstream));
         self.effects.push(Effect::Finish {
             caller: request.caller,
@@ -78,7 +83,7 @@
             return;
         };
         self.count(Counter::Answered);
-        self.clear_suspicion(request.print);
+        self.clear_suspicion(request.request_fingerprint);
         self.log_step(&request, effect::Step::Answered, Some(attempt.upstream));
         self.effects.push(Effect::Reply {
             body,
@@ -88,7 +93,7 @@
         self.dispatch_queued(request.service.pool());
     }
 
-    /// Handles tokens of a stream, the first of which is at `position` in the whole answer. Tokens
+    /// Handles tokens of a stream, the first of which is at `position` in the whole response. Tokens
     /// that were delivered before are dropped; a gap or a mismatch abandons the attempt.
     pub(crate) fn handle_tokens(
         &mut self,
@@ -101,7 +106,7 @@
             return;
         };
         let (owner, number) = (attempt.request, attempt.number);
-        let upstream = self.upstreams[attempt.upstream].life.id;
+        let upstream = self.upstreams[attempt.upstream].incarnation.id;
         let request = &self.requests[owner];
         let next = request.position();
         let repeated = tokens.len().min(next.saturating_sub(position) as usize);
--- a/crates/core/tests/relay/builder.rs
+++ b/crates/core/tests/relay/builder.rs
@@ -48,7 +48,7 @@
         self
     }
 
-    /// Makes the core wait for the records of streams from before its start.
+    /// Makes the core wait for the records of streams that were stored before its start.
     pub fn restoring_streams(mut self) -> Self {
         self.core = self.core.restoring_streams();
         self
@@ -153,12 +153,12 @@
         let sent = self.last_sent();
         self.handle(Event::StreamOpened(sent.attempt));
         for position in 1..=events {
-            self.pass_on(&sent, position);
+            self.send_event(&sent, position);
         }
         sent
     }
 
-    pub fn pass_on(&mut self, sent: &Sent, position: u64) {
+    pub fn send_event(&mut self, sent: &Sent, position: u64) {
         self.handle(Event::StreamEvent {
             attempt: sent.attempt,
             bytes: format!("id: {position}\n\n").into_bytes().into(),
@@ -178,11 +178,11 @@
         });
     }
 
-    /// Breaks the connection of an attempt; the crash check then finds that its upstream has ended or is alive.
+    /// Breaks the connection of an attempt; the crash check then finds that its upstream has crashed or is alive.
     pub fn break_connection(&mut self, sent: &Sent, ended: bool) {
         self.fail(sent, Failure::Broken);
-        let life = life(sent.upstream, 0);
-        self.handle(Event::CrashChecked { ended, life });
+        let incarnation = incarnation(sent.upstream, 0);
+        self.handle(Event::CrashChecked { ended, incarnation });
     }
 
     pub fn answer(&mut self, sent: &Sent, verdict: Verdict) {
@@ -201,13 +201,13 @@
 
     /// Reports a stream that is queued at another instance.
     pub fn add_peer_waiting(&mut self, prompt: u64) {
-        self.handle(Event::PeerStream(Sighting {
+        self.handle(Event::PeerStream(StreamRecord {
             backup: None,
             pool: "pool".into(),
             prompt,
             stage: Stage::Waiting,
             upstream: None,
-            ..sighting(0, 0)
+            ..stream_record(0, 0)
         }));
     }
 
@@ -316,7 +316,7 @@
         leaving: false,
         name: format!("runner-{name}"),
         pool: "pool".into(),
-        since: Position::default(),
+        registered_at: Position::default(),
         slots: 0,
         version: String::new(),
     }
@@ -380,18 +380,18 @@
 }
 
 /// Incarnation of an upstream with the given start time.
-pub fn life(upstream: usize, born: u64) -> Incarnation {
+pub fn incarnation(upstream: usize, born: u64) -> Incarnation {
     Incarnation::new(&format!("runner-{upstream}"), born)
 }
 
-pub fn sighting(upstream: usize, backup: usize) -> Sighting {
-    Sighting {
-        backup: Some(life(backup, 0)),
+pub fn stream_record(upstream: usize, backup: usize) -> StreamRecord {
+    StreamRecord {
+        backup: Some(incarnation(backup, 0)),
         pool: String::new(),
         prompt: 77,
         run: "run-before".into(),
         stage: Stage::Streaming,
         tokens: 5_200,
-        upstream: Some(life(upstream, 0)),
+        upstream: Some(incarnation(upstream, 0)),
     }
 }
--- a/crates/core/tests/relay/fleet.rs
+++ b/crates/core/tests/relay/fleet.rs
@@ -96,10 +96,10 @@
         test.handle(Event::Instances(View::numbered(0, u64::from(instances))));
         // All but four upstreams are known to be busy.
         for upstream in 4..60 {
-            test.handle(Event::PeerStream(Sighting {
+            test.handle(Event::PeerStream(StreamRecord {
                 prompt: 1_000 + upstream as u64,
                 stage: Stage::Started,
-                ..sighting(upstream, upstream)
+                ..stream_record(upstream, upstream)
             }));
         }
         test.request(STREAM);
@@ -204,13 +204,13 @@
     test.request(NON_REPEATABLE);
     test.advance(300);
     let sent = test.effects.iter().find_map(|effect| match effect {
-        Effect::GossipDemand { demand, pressed } => Some((demand.clone(), *pressed)),
+        Effect::GossipDemand { demand, urgent } => Some((demand.clone(), *urgent)),
         _ => None,
     });
-    let (demand, pressed) = sent.expect("a demand message is sent");
+    let (demand, urgent) = sent.expect("a demand message is sent");
     expect_that!(demand.running, eq(2));
     expect_that!(demand.arrival_rate, gt(0.0));
-    expect_that!(pressed, eq(false));
+    expect_that!(urgent, eq(false));
 }
 
 /// Number of times that a failing call is sent, with this arrival rate at each of 294 other
--- a/crates/core/tests/relay/life.rs
+++ b/crates/core/tests/relay/incarnation.rs
@@ -17,22 +17,22 @@
     test
 }
 
-/// Beliefs logged about upstreams since the given effect.
-fn beliefs(test: &Test, since: usize) -> Vec<&'static str> {
-    let belief = |effect: &Effect| match effect {
-        Effect::LogUpstream { change: belief, .. } => Some(belief.name()),
+/// Status changes of upstreams logged since the given effect.
+fn status_changes(test: &Test, since: usize) -> Vec<&'static str> {
+    let change = |effect: &Effect| match effect {
+        Effect::LogUpstream { change, .. } => Some(change.name()),
         _ => None,
     };
-    test.effects[since..].iter().filter_map(belief).collect()
+    test.effects[since..].iter().filter_map(change).collect()
 }
 
 #[gtest]
 fn copy_at_a_former_incarnation_is_not_resumed_from() {
     let mut test = started_at_5(6);
-    test.handle(Event::PeerStream(Sighting {
-        backup: Some(life(4, 5)),
-        upstream: Some(life(1, 5)),
-        ..sighting(1, 4)
+    test.handle(Event::PeerStream(StreamRecord {
+        backup: Some(incarnation(4, 5)),
+        upstream: Some(incarnation(1, 5)),
+        ..stream_record(1, 4)
     }));
     let mut listed: Vec<ListEntry> = (0..6).map(|index| listed_since(index, 5)).collect();
     listed[4] = listed_since(4, 9);
@@ -47,7 +47,7 @@
     let mut test = started_at_5(1);
     let newer = ListEntry {
         pool: "another".into(),
-        since: Position::new(0, 70),
+        registered_at: Position::new(0, 70),
         ..listed(9, 0)
     };
     test.list(vec![listed_since(0, 5), newer]);
@@ -64,7 +64,10 @@
     };
     next.routes.push(route("/another/", call, true, false));
     test.handle(Event::Config(Arc::new(next)));
-    expect_that!(beliefs(&test, before), elements_are![eq(&"replaced")]);
+    expect_that!(
+        status_changes(&test, before),
+        elements_are![eq(&"replaced")]
+    );
 }
 
 #[gtest]
@@ -72,7 +75,7 @@
     let mut test = started_at_5(1);
     let foreign = ListEntry {
         pool: "another".into(),
-        since: Position::new(0, 70),
+        registered_at: Position::new(0, 70),
         ..listed(9, 0)
     };
     test.list(vec![listed_since(0, 5), foreign]);
@@ -86,7 +89,7 @@
     test.request(NON_REPEATABLE);
     let before = test.effects.len();
     test.list(vec![listed(0, 0)]);
-    expect_that!(beliefs(&test, before), is_empty());
+    expect_that!(status_changes(&test, before), is_empty());
     expect_that!(test.outcomes(), is_empty());
 }
 
@@ -95,7 +98,7 @@
     let mut test = started_at_5(6);
     test.list((0..6).map(|index| listed_since(index, 9)).collect());
     for upstream in [0, 1] {
-        test.handle(Event::PeerLoss(life(upstream, 5)));
+        test.handle(Event::PeerLoss(incarnation(upstream, 5)));
     }
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..30 {
@@ -135,12 +138,12 @@
 fn load_of_a_former_incarnation_does_not_count_for_the_next() {
     let mut test = started_at_5(2);
     for prompt in 0..8 {
-        test.handle(Event::PeerStream(Sighting {
+        test.handle(Event::PeerStream(StreamRecord {
             backup: None,
             prompt: 1_000 + prompt,
             stage: Stage::Started,
-            upstream: Some(life(0, 5)),
-            ..sighting(0, 0)
+            upstream: Some(incarnation(0, 5)),
+            ..stream_record(0, 0)
         }));
     }
     test.request(STREAM);
@@ -187,7 +190,7 @@
     };
     let before = test.effects.len();
     test.list(vec![moved]);
-    expect_that!(beliefs(&test, before), contains(eq(&"restarted")));
+    expect_that!(status_changes(&test, before), contains(eq(&"restarted")));
     expect_that!(test.last_sent().upstream, eq(5));
 }
 
@@ -214,7 +217,7 @@
     expect_that!(test.last_sent().upstream, eq(0));
     let before = test.effects.len();
     test.advance(1_200);
-    expect_that!(beliefs(&test, before), is_empty());
+    expect_that!(status_changes(&test, before), is_empty());
 }
 
 #[gtest]
@@ -225,7 +228,7 @@
     // The clock of the machine was set back before it restarted again.
     test.list(vec![listed_since(0, 4)]);
     expect_that!(
-        beliefs(&test, before),
+        status_changes(&test, before),
         elements_are![eq(&"new"), eq(&"restarted")]
     );
     test.request(NON_REPEATABLE);
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -20,7 +20,7 @@
         quarantine::{CrashHistory, Involvement},
         request::{Caller, Relay, Work},
         settings::{CapacityLimits, ResumeMode, Settings},
-        sighting::{Sighting, Stage},
+        stream_record::{Stage, StreamRecord},
         upstream::{self, Load},
     },
 };
@@ -28,7 +28,7 @@
 mod builder;
 mod capacity;
 mod fleet;
-mod life;
+mod incarnation;
 mod limit;
 mod notice;
 mod poison;
@@ -65,7 +65,7 @@
     test.close(&first, false);
     let second = test.last_sent();
     test.handle(Event::StreamOpened(second.attempt));
-    test.pass_on(&second, 4);
+    test.send_event(&second, 4);
     test.close(&second, true);
     expect_that!(
         test.delivered(),
@@ -123,7 +123,7 @@
     test.fail(&sent, Failure::Broken);
     let next = test.last_sent();
     test.handle(Event::StreamOpened(next.attempt));
-    test.pass_on(&next, 3);
+    test.send_event(&next, 3);
     let opened = test
         .effects
         .iter()
@@ -158,8 +158,8 @@
 fn repeated_event_is_dropped() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
-    test.pass_on(&sent, 2);
-    test.pass_on(&sent, 3);
+    test.send_event(&sent, 2);
+    test.send_event(&sent, 3);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2), eq(&3)]);
     expect_that!(test.counted(Counter::FrameRepeated), eq(1));
 }
@@ -168,7 +168,7 @@
 fn stream_that_skips_an_event_is_resumed_on_another_upstream() {
     let mut test = Test::new(6);
     let sent = test.stream(2);
-    test.pass_on(&sent, 4);
+    test.send_event(&sent, 4);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2)]);
     expect_that!(test.last_sent().position, eq(2));
 }
@@ -178,7 +178,7 @@
     let mut test = Test::new(6);
     let sent = test.stream(2);
     test.fail(&sent, Failure::Broken);
-    test.pass_on(&sent, 3);
+    test.send_event(&sent, 3);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2)]);
     expect_that!(test.counted(Counter::FrameLate), eq(1));
 }
@@ -358,12 +358,12 @@
 #[gtest]
 fn last_registered_upstream_at_an_address_receives_requests() {
     let older = ListEntry {
-        since: Position::new(0, 4),
+        registered_at: Position::new(0, 4),
         slots: 0,
         ..listed(0, 0)
     };
     let newer = ListEntry {
-        since: Position::new(0, 7),
+        registered_at: Position::new(0, 7),
         slots: 0,
         ..listed(9, 0)
     };
@@ -404,7 +404,7 @@
         leaving: true,
         ..listed(0, 0)
     }]);
-    test.pass_on(&sent, 2);
+    test.send_event(&sent, 2);
     expect_that!(test.delivered(), elements_are![eq(&1), eq(&2)]);
 }
 
@@ -413,7 +413,7 @@
     let mut test = Test::new(6);
     for upstream in [0, 1] {
         test.now = test.now.after(5);
-        test.handle(Event::PeerLoss(life(upstream, 0)));
+        test.handle(Event::PeerLoss(incarnation(upstream, 0)));
     }
     for _ in 0..10 {
         test.request(REPEATABLE);
@@ -426,17 +426,17 @@
     let mut test = Test::new(6);
     let sent = test.stream(1);
     test.fail(&sent, Failure::Broken);
-    let blamed = test.effects.iter().find_map(|effect| match effect {
-        Effect::GossipLost(life) => Some(*life),
+    let announced = test.effects.iter().find_map(|effect| match effect {
+        Effect::GossipLost(incarnation) => Some(*incarnation),
         _ => None,
     });
-    expect_that!(blamed, some(eq(life(sent.upstream, 0))));
+    expect_that!(announced, some(eq(incarnation(sent.upstream, 0))));
 }
 
 #[gtest]
 fn reconnecting_caller_resumes_from_the_reported_copy() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
+    test.handle(Event::PeerStream(stream_record(1, 4)));
     test.request_as("key", STREAM, 9);
     let sent = test.last_sent();
     expect_that!(sent.upstream, eq(4));
@@ -447,7 +447,7 @@
 #[gtest]
 fn reconnecting_caller_falls_back_to_the_upstream_that_ran_the_stream() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
+    test.handle(Event::PeerStream(stream_record(1, 4)));
     test.request_as("key", STREAM, 9);
     let sent = test.last_sent();
     test.fail(&sent, Failure::Refused);
@@ -459,10 +459,10 @@
 #[gtest]
 fn stream_reported_as_ended_is_not_resumed_from_its_copy() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
-    let ended = Sighting {
+    test.handle(Event::PeerStream(stream_record(1, 4)));
+    let ended = StreamRecord {
         stage: Stage::Ended,
-        ..sighting(1, 4)
+        ..stream_record(1, 4)
     };
     test.handle(Event::PeerStream(ended));
     test.request_as("key", STREAM, 9);
@@ -472,12 +472,12 @@
 #[gtest]
 fn stream_reported_as_left_can_still_be_resumed() {
     let mut test = Test::new(6);
-    test.handle(Event::PeerStream(sighting(1, 4)));
-    let left = Sighting {
+    test.handle(Event::PeerStream(stream_record(1, 4)));
+    let left = StreamRecord {
         backup: None,
         stage: Stage::Left,
         upstream: None,
-        ..sighting(1, 4)
+        ..stream_record(1, 4)
     };
     test.handle(Event::PeerStream(left));
     test.request_as("key", STREAM, 9);
@@ -488,10 +488,10 @@
 fn streams_of_other_instances_count_as_load() {
     let mut test = Test::new(2);
     for prompt in 0..4 {
-        test.handle(Event::PeerStream(Sighting {
+        test.handle(Event::PeerStream(StreamRecord {
             prompt: 1_000 + prompt,
             stage: Stage::Started,
-            ..sighting(0, 9)
+            ..stream_record(0, 9)
         }));
     }
     test.request(STREAM);
--- a/crates/node/src/committer.rs
+++ b/crates/node/src/committer.rs
@@ -1,45 +1,45 @@
-//! Commits the claims of one place to the key-value service.
+//! Commits the claims of one bucket to the key-value service.
 //!
-//! Claims that come while a write is under way, or before the place may be written again, go into
-//! the next write together, so the rate of writes is bounded however many claims come.
+//! Claims that arrive during a write, or before the bucket may be written again, are batched into the
+//! next write, so the rate of writes is bounded regardless of the rate of claims.
 
 use super::*;
 
-/// Time after which claims are given up on, `Unavailable`.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Time after which claims that could not be committed fail as `Unavailable`.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time between two tries at a service that does not answer.
-const RETRY: Duration = Duration::from_millis(50);
+/// Time between two attempts after an error of the service.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Leases that this instance knows to exist.
+/// Identifiers of the leases that this instance knows to exist.
 #[derive(Default)]
 pub(crate) struct Leases(tokio::sync::Mutex<HashSet<u64>>);
 
-/// What is known of a place's entry.
-enum Seen {
-    /// Its last known state; it may have changed since.
+/// Cached entry of the bucket.
+enum CachedEntry {
+    /// Its last known state, which may be stale; `None` if it does not exist.
     Known(Option<store::Entry>),
-    /// Nothing.
+    /// It must be read first.
     Unknown,
 }
 
-/// Commits the claims of one place.
+/// Commits the claims of one bucket.
 pub(crate) struct Committer {
+    bucket: claim::BucketId,
+    cached: CachedEntry,
     driver: Driver,
-    gap: Duration,
     leases: Arc<Leases>,
-    place: claim::BucketId,
-    seen: Seen,
     store: Store,
     ttl_ms: u64,
+    write_interval: Duration,
 }
 
 impl Leases {
-    /// Makes sure that a lease exists.
+    /// Creates a lease unless it is known to exist.
     async fn ensure(&self, store: &Store, lease: u64, ttl_ms: u64) -> Result<(), Error> {
         let mut known = self.0.lock().await;
         if !known.contains(&lease) {
-            store.grant(lease, ttl_ms.div_ceil(1_000)).await?;
+            store.ensure_lease(lease, ttl_ms.div_ceil(1_000)).await?;
             known.insert(lease);
         }
         Ok(())
@@ -51,91 +51,97 @@
 }
 
 impl Committer {
-    /// A committer of a place, which writes it once in `gap` at most.
+    /// Creates a committer that waits for `write_interval` after each batch.
     pub fn new(
         driver: Driver,
         store: Store,
         leases: Arc<Leases>,
-        place: claim::BucketId,
+        bucket: claim::BucketId,
         ttl_ms: u64,
-        gap: Duration,
+        write_interval: Duration,
     ) -> Self {
         Self {
+            bucket,
+            // Most buckets are new; if this one is not, the first swap fails and returns its entry.
+            cached: CachedEntry::Known(None),
             driver,
-            gap,
             leases,
-            place,
-            // Most places are new; if this one is not, the first swap says what it holds.
-            seen: Seen::Known(None),
             store,
             ttl_ms,
+            write_interval,
         }
     }
 
-    /// Serves the place until nobody asks any more.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<claimer::Order>) {
-        let mut group = Vec::new();
-        while let Some(order) = orders.recv().await {
-            group.push(order);
-            while let Ok(order) = orders.try_recv() {
-                group.push(order);
+    /// Commits claims until their channel is closed.
+    pub async fn run(mut self, mut claims: mpsc::UnboundedReceiver<claimer::PendingClaim>) {
+        let mut batch = Vec::new();
+        while let Some(pending) = claims.recv().await {
+            batch.push(pending);
+            while let Ok(pending) = claims.try_recv() {
+                batch.push(pending);
             }
-            self.commit(&mut group).await;
-            sleep(self.gap).await;
+            self.commit(&mut batch).await;
+            sleep(self.write_interval).await;
         }
     }
 
-    /// Settles a group of claims: reads, adds, and swaps until a swap succeeds.
-    async fn commit(&mut self, group: &mut Vec<claimer::Order>) {
+    /// Commits a batch of claims: reads, adds, and swaps until a swap succeeds.
+    async fn commit(&mut self, batch: &mut Vec<claimer::PendingClaim>) {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
-            match self.attempt(group).await {
+        while start.elapsed() < COMMIT_TIMEOUT {
+            match self.attempt(batch).await {
                 Ok(Some(outcomes)) => {
-                    for (order, outcome) in group.drain(..).zip(outcomes) {
-                        order.settle(&self.driver, outcome);
+                    for (pending, outcome) in batch.drain(..).zip(outcomes) {
+                        pending.complete(&self.driver, outcome);
                     }
                     return;
                 }
                 Ok(None) => {}
                 Err(error) => {
                     debug!("claim: {error}");
-                    self.seen = Seen::Unknown;
-                    self.leases.forget(self.place.lease()).await;
-                    sleep(RETRY).await;
+                    self.cached = CachedEntry::Unknown;
+                    self.leases.forget(self.bucket.lease()).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
-        for order in group.drain(..) {
-            order.settle(&self.driver, ClaimOutcome::Unavailable);
+        for pending in batch.drain(..) {
+            pending.complete(&self.driver, ClaimOutcome::Unavailable);
         }
     }
 
-    /// One try; `None` if another instance wrote in between.
+    /// One attempt; `None` if another instance wrote the bucket in between.
     async fn attempt(
         &mut self,
-        group: &[claimer::Order],
+        batch: &[claimer::PendingClaim],
     ) -> Result<Option<Vec<ClaimOutcome>>, Error> {
-        let key = format!("wellplank/claim/{}/{}", self.place.slice, self.place.bucket);
-        let entry = match std::mem::replace(&mut self.seen, Seen::Unknown) {
-            Seen::Known(entry) => entry,
-            Seen::Unknown => self.store.get(&key).await?,
+        let key = format!(
+            "wellplank/claim/{}/{}",
+            self.bucket.slice, self.bucket.bucket
+        );
+        let entry = match std::mem::replace(&mut self.cached, CachedEntry::Unknown) {
+            CachedEntry::Known(entry) => entry,
+            CachedEntry::Unknown => self.store.get(&key).await?,
         };
-        let mut bucket = match &entry {
+        let mut claims = match &entry {
             None => claim::Bucket::default(),
             Some(entry) => claim::Bucket::decode(&entry.value)
-                .ok_or_else(|| Error::Store(format!("{key} holds no claims")))?,
+                .ok_or_else(|| Error::Store(format!("{key} does not contain claims")))?,
         };
-        let before = bucket.len();
-        let outcomes = group.iter().map(|order| bucket.add(&order.claim)).collect();
+        let previous_count = claims.len();
+        let outcomes = batch
+            .iter()
+            .map(|pending| claims.add(&pending.claim))
+            .collect();
         let expected = entry.as_ref().map_or(0, |entry| entry.revision);
-        if bucket.len() == before {
-            // Nothing new to write. The entry may be old, but claims are never taken back.
-            self.seen = Seen::Known(entry);
+        if claims.len() == previous_count {
+            // No claim is new. The cached entry may be stale, but claims are never removed.
+            self.cached = CachedEntry::Known(entry);
             return Ok(Some(outcomes));
         }
-        let lease = self.place.lease();
+        let lease = self.bucket.lease();
         self.leases.ensure(&self.store, lease, self.ttl_ms).await?;
-        let value = bucket.encode();
+        let value = claims.encode();
         let write = store::Write {
             expected,
             key: &key,
@@ -143,12 +149,12 @@
             value: &value,
         };
         match self.store.swap(write).await? {
-            store::Swap::Done(revision) => {
-                self.seen = Seen::Known(Some(store::Entry { revision, value }));
+            store::SwapOutcome::Written(revision) => {
+                self.cached = CachedEntry::Known(Some(store::Entry { revision, value }));
                 Ok(Some(outcomes))
             }
-            store::Swap::Lost(entry) => {
-                self.seen = Seen::Known(entry);
+            store::SwapOutcome::Conflict(entry) => {
+                self.cached = CachedEntry::Known(entry);
                 Ok(None)
             }
         }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,31 +1,31 @@
-//! Streams of engines: a completions interface over HTTP with server-sent events.
+//! Client for engines: a completions interface over HTTP with server-sent events.
 //!
-//! - `POST /v1/completions` starts a stream named by `stream_id`; `continue_token_ids` holds the
-//!   tokens that it continues from, `linger_ms` how long it is kept without a reader.
-//! - `GET /v1/completions/{stream_id}?starting_after=N` reads on from position N.
+//! - `POST /v1/completions` starts the stream `stream_id`; `continue_token_ids` holds the tokens that it continues after,
+//!   `linger_ms` how long the engine keeps it without a reader.
+//! - `GET /v1/completions/{stream_id}?starting_after=N` resumes reading at position N.
 //! - `POST /v1/completions/{stream_id}/cancel` stops it.
-//! - 429 and 503 mean that nothing ran; the header `x-leaving` that the engine is leaving, `retry-after` for how many seconds it
-//!   wants nothing of this instance.
+//! - The status 429 or 503 means that nothing ran; the header `x-leaving`, that the engine is leaving; `retry-after`, for how
+//!   many seconds it accepts no requests from this instance.
 
 use super::*;
 use wellplank_core::notice::{Backoff, Notice};
 
-/// Header by which an upstream that refuses says that it is leaving.
-pub(crate) const LEAVING: &str = "x-leaving";
+/// Header of a refusal by an upstream that is leaving.
+const LEAVING_HEADER: &str = "x-leaving";
 
-/// Time that a cancelled stream's engine has to answer.
-const CANCEL: Duration = Duration::from_secs(1);
+/// Timeout for the cancellation of a stream.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One event of a stream.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     choices: Vec<Choice>,
-    /// The engine's load now, in some of the events.
-    load: Option<probe::Report>,
+    /// Current load of the engine; only some events have it.
+    load: Option<probe::LoadReport>,
     position: u32,
 }
 
-/// The one choice of an event.
+/// The only choice of an event.
 #[derive(Debug, Deserialize)]
 struct Choice {
     finish_reason: Option<String>,
@@ -35,20 +35,20 @@
     token_ids: Vec<u32>,
 }
 
-/// Stops a stream; a lost word costs no more than the stream's linger time.
+/// Cancels a stream at its engine. Errors are ignored: the engine stops the stream after its linger time anyway.
 pub(crate) async fn cancel(
-    http: Http,
+    http: HttpClient,
     address: SocketAddr,
     stream: wellplank_core::effect::Stream,
 ) {
-    let path = format!("/v1/completions/{}/cancel", name(stream));
+    let path = format!("/v1/completions/{}/cancel", stream_id(stream));
     let request = http::post(address, &path, &json!({}));
-    let _ = timeout(CANCEL, http.exchange(request)).await;
+    let _ = timeout(CANCEL_TIMEOUT, http.exchange(request)).await;
 }
 
-/// Reads a stream to its end and tells the core task what comes.
+/// Sends a request for a stream, reads the stream to its end and reports its events to the core task.
 pub(crate) async fn run(
-    http: Http,
+    http: HttpClient,
     driver: Driver,
     attempt: attempt::Key,
     upstream: upstream::Key,
@@ -59,25 +59,26 @@
         Err(http::Error::NotSent(_)) => Failure::NotSent,
         Err(http::Error::Broken(_)) => Failure::Broken,
         Ok(response) if response.status() == StatusCode::OK => {
-            if read(&driver, attempt, response.into_body()).await {
+            if read_stream(&driver, attempt, response.into_body()).await {
                 return;
             }
             Failure::Broken
         }
         Ok(response) => {
-            tell(&driver, attempt, upstream, &response);
-            refusal(&response, attach)
+            report_backoff(&driver, attempt, upstream, &response);
+            classify_error(&response, attach)
         }
     };
-    driver.event(Event::Failed { attempt, failure });
+    driver.send_event(Event::Failed { attempt, failure });
 }
 
-/// The request that starts or re-attaches to a stream; `None` if the payload is no object.
+/// The request that starts or re-attaches to a stream; `None` if the payload is not a JSON object or the message is
+/// not for an engine.
 pub(crate) fn request(address: SocketAddr, outbound: Outbound) -> Option<Request<http::Body>> {
     match outbound {
         Outbound::Attach { position, stream } => {
-            let name = name(stream);
-            let path = format!("/v1/completions/{name}?starting_after={position}");
+            let id = stream_id(stream);
+            let path = format!("/v1/completions/{id}?starting_after={position}");
             Some(http::get(address, &path))
         }
         Outbound::Call { .. } | Outbound::Relay { .. } => None,
@@ -99,27 +100,27 @@
             body.insert("model".into(), model.name.clone().into());
             body.insert("priority".into(), (priority as u8).into());
             body.insert("stream".into(), true.into());
-            body.insert("stream_id".into(), name(stream).into());
+            body.insert("stream_id".into(), stream_id(stream).into());
             body.insert("version".into(), model.version.clone().into());
             Some(http::post(address, "/v1/completions", &body.into()))
         }
     }
 }
 
-/// Tells the core task for how long the upstream that gave a refusal wants nothing.
-pub(crate) fn tell<B>(
+/// Reports to the core task the backoff that an upstream requests with a refusal.
+pub(crate) fn report_backoff<B>(
     driver: &Driver,
     attempt: attempt::Key,
     upstream: upstream::Key,
     response: &hyper::Response<B>,
 ) {
     let value = response.headers().get(header::RETRY_AFTER);
-    if let Some(value) = value.filter(|_| refuses(response.status())) {
+    if let Some(value) = value.filter(|_| is_refusal(response.status())) {
         let notice = Notice {
             backoff: value.to_str().map_or(Backoff::Malformed, Backoff::parse),
             ..Notice::default()
         };
-        driver.event(Event::NoticeReceived {
+        driver.send_event(Event::NoticeReceived {
             attempt,
             notice,
             upstream,
@@ -127,33 +128,33 @@
     }
 }
 
-/// Whether a status says that nothing was run for want of room.
-pub(crate) fn refuses(status: StatusCode) -> bool {
+/// Whether a status means that the upstream did not run the request for lack of capacity.
+pub(crate) fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     )
 }
 
-/// What a refusal means for the request.
-pub(crate) fn refusal<B>(response: &hyper::Response<B>, attach: bool) -> Failure {
-    let leaving = response.headers().contains_key(LEAVING);
+/// The failure that an error response means for an attempt; `attach` tells whether it was to re-attach to a stream.
+pub(crate) fn classify_error<B>(response: &hyper::Response<B>, attach: bool) -> Failure {
+    let leaving = response.headers().contains_key(LEAVING_HEADER);
     match response.status() {
         StatusCode::SERVICE_UNAVAILABLE if leaving => Failure::Leaving,
-        status if refuses(status) => Failure::Refused,
+        status if is_refusal(status) => Failure::Refused,
         StatusCode::NOT_FOUND if attach => Failure::UnknownStream,
         status if status.is_client_error() => Failure::Rejected,
         _ => Failure::Broken,
     }
 }
 
-fn name(stream: wellplank_core::effect::Stream) -> String {
+fn stream_id(stream: wellplank_core::effect::Stream) -> String {
     let generation = Uuid::from_u128(stream.generation);
     format!("{generation}.{}", stream.number)
 }
 
-/// Reads events until the end; false if the stream ends before it should.
-async fn read(driver: &Driver, attempt: attempt::Key, body: hyper::body::Incoming) -> bool {
+/// Reads a stream and reports its events; false if it ends without a finish reason or an event is malformed.
+async fn read_stream(driver: &Driver, attempt: attempt::Key, body: hyper::body::Incoming) -> bool {
     let mut events = SseStream::new(body);
     while let Some(Ok(event)) = events.next().await {
         let Some(data) = event.data else { continue };
@@ -166,18 +167,18 @@
         let position = chunk.position;
         let end = position + choice.token_ids.len() as u32;
         if !choice.token_ids.is_empty() {
-            driver.event(Event::Tokens {
+            driver.send_event(Event::Tokens {
                 attempt,
-                tokens: pieces(&choice.token_ids, choice.text),
+                tokens: output_tokens(&choice.token_ids, choice.text),
                 position,
             });
         }
         if let Some(report) = chunk.load {
             let load = report.load();
-            driver.event(Event::PiggybackedLoad { attempt, load });
+            driver.send_event(Event::PiggybackedLoad { attempt, load });
         }
         if let Some(reason) = choice.finish_reason {
-            driver.event(Event::GenerationFinished {
+            driver.send_event(Event::GenerationFinished {
                 attempt,
                 position: end,
                 reason,
@@ -188,17 +189,17 @@
     false
 }
 
-/// Tokens with their text; the text of several tokens goes with the last of them.
-fn pieces(tokens: &[u32], text: String) -> Vec<OutputToken> {
-    let mut pieces: Vec<OutputToken> = tokens
+/// Tokens with their text; the text of several tokens is assigned to the last of them.
+fn output_tokens(ids: &[u32], text: String) -> Vec<OutputToken> {
+    let mut tokens: Vec<OutputToken> = ids
         .iter()
-        .map(|token| OutputToken {
+        .map(|id| OutputToken {
+            id: *id,
             text: String::new(),
-            id: *token,
         })
         .collect();
-    if let Some(last) = pieces.last_mut() {
+    if let Some(last) = tokens.last_mut() {
         last.text = text;
     }
-    pieces
+    tokens
 }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,4 +1,4 @@
-//! Passing a request on to an upstream, and its answer back, both as they are.
+//! Forwards relayed requests to upstreams, and the responses back, without changing their bodies.
 
 use super::*;
 use platform::response::Classification;
@@ -6,58 +6,58 @@
 
 /// A request as its caller sent it.
 #[derive(Debug)]
-pub(crate) struct Original {
-    /// Body.
+pub(crate) struct OriginalRequest {
+    /// The complete body.
     pub body: Bytes,
-    /// Headers.
+    /// All headers, including those that are not forwarded.
     pub headers: hyper::HeaderMap,
-    /// Method.
+    /// HTTP method.
     pub method: hyper::Method,
-    /// Name of the run at upstreams.
-    pub run: Arc<str>,
+    /// Request ID, which also identifies the request at upstreams.
+    pub request_id: Arc<str>,
     /// Path with query.
     pub target: String,
 }
 
-/// Head of an upstream's answer, without what concerns its connection.
+/// Head of an upstream's response.
 #[derive(Debug)]
 pub(crate) struct Head {
-    /// Headers.
+    /// End-to-end headers.
     pub headers: hyper::HeaderMap,
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
 }
 
-/// Whole answer of an upstream.
+/// Complete response of an upstream.
 #[derive(Debug)]
-pub(crate) struct Answer {
-    /// Body.
+pub(crate) struct CompleteResponse {
+    /// The complete body.
     pub body: Bytes,
-    /// Head.
+    /// Status and headers.
     pub head: Head,
 }
 
-/// One request at one upstream.
+/// One attempt of a request at one upstream.
 pub(crate) struct Exchange {
     /// The attempt.
     pub attempt: attempt::Key,
-    /// The caller that it is for.
+    /// The caller that sent the request.
     pub caller: Caller,
-    /// The core task.
+    /// Handle of the core task.
     pub driver: Driver,
-    /// Name of the run, which the answer must bear.
-    pub run: Arc<str>,
-    /// Whether the answer is a series of events.
+    /// Request ID, which the response must repeat.
+    pub request_id: Arc<str>,
+    /// Whether the response is a stream of events.
     pub streams: bool,
-    /// The upstream.
+    /// Key of the upstream.
     pub upstream: upstream::Key,
-    /// Name of the upstream.
+    /// Name of the upstream, for logs.
     pub upstream_name: Arc<str>,
 }
 
-impl Original {
-    /// The request to an upstream; `None` if its path makes no address.
-    pub fn request(
+impl OriginalRequest {
+    /// The request to send to an upstream; `None` if the message is not a relay or the path makes no valid URI.
+    pub fn upstream_request(
         &self,
         address: SocketAddr,
         outbound: &Outbound,
@@ -74,9 +74,9 @@
         else {
             return None;
         };
-        let forward = platform::request::ForwardHeaders {
+        let forward_headers = platform::request::ForwardHeaders {
             backup: *backup,
-            copy: copy.as_deref().map(|run| (address, run)),
+            copy: copy.as_deref().map(|request_id| (address, request_id)),
             customer: customer.as_deref(),
             left_ms: *left_ms,
             position: *position,
@@ -87,36 +87,45 @@
             .uri(format!("http://{address}{}", self.target))
             .body(http::Body::from(self.body.clone()))
             .ok()?;
-        *request.headers_mut() = platform::request::upstream_headers(&self.headers, &forward);
+        *request.headers_mut() =
+            platform::request::upstream_headers(&self.headers, &forward_headers);
         Some(request)
     }
 }
 
 impl Exchange {
-    /// Sends the request and tells the core task what comes, up to the end of the answer.
-    pub async fn run(self, http: Http, request: Request<http::Body>) {
+    /// Sends the request and reports the response to the core task, up to its end.
+    pub async fn run(self, http: HttpClient, request: Request<http::Body>) {
         if let Err(failure) = self.exchange(http, request).await {
-            self.driver.event(Event::Failed {
+            self.driver.send_event(Event::Failed {
                 attempt: self.attempt,
                 failure,
             });
         }
     }
 
-    async fn exchange(&self, http: Http, request: Request<http::Body>) -> Result<(), Failure> {
+    async fn exchange(
+        &self,
+        http: HttpClient,
+        request: Request<http::Body>,
+    ) -> Result<(), Failure> {
         let response = http.send(request).await.map_err(|error| match error {
             http::Error::Broken(_) => Failure::Broken,
             http::Error::NotSent(_) => Failure::NotSent,
         })?;
         let (parts, body) = response.into_parts();
-        let classification =
-            platform::response::classify(parts.status, &parts.headers, &self.run, self.streams);
-        let marked = parts.headers.contains_key(header::TRANSFER_ENCODING)
+        let classification = platform::response::classify(
+            parts.status,
+            &parts.headers,
+            &self.request_id,
+            self.streams,
+        );
+        let has_end_marker = parts.headers.contains_key(header::TRANSFER_ENCODING)
             || parts.headers.contains_key(header::CONTENT_LENGTH);
-        let notice = platform::response::notice(parts.status, &parts.headers, &self.run);
-        self.tell(parts.status, notice);
-        for word in platform::response::unknown_headers(&parts.headers) {
-            self.driver.unknown(word, &self.upstream_name);
+        let notice = platform::response::notice(parts.status, &parts.headers, &self.request_id);
+        self.report_notice(parts.status, notice);
+        for name in platform::response::unknown_headers(&parts.headers) {
+            self.driver.report_unknown_header(name, &self.upstream_name);
         }
         let head = Head {
             headers: platform::request::end_to_end(&parts.headers),
@@ -126,13 +135,14 @@
             Classification::Failed(failure) => Err(failure),
             Classification::Stream => {
                 let event = Event::StreamOpened(self.attempt);
-                let held = driver::Held::Head(Box::new(head));
-                self.driver.hold(self.attempt, self.caller, held, event);
-                self.stream(body, marked).await
+                let held = driver::HeldResponse::Head(Box::new(head));
+                self.driver
+                    .hold_response(self.attempt, self.caller, held, event);
+                self.read_stream(body, has_end_marker).await
             }
             Classification::Unary(verdict) => {
                 let body = body.collect().await.map_err(|_| Failure::Broken)?;
-                let answer = Answer {
+                let response = CompleteResponse {
                     body: body.to_bytes(),
                     head,
                 };
@@ -140,20 +150,21 @@
                     attempt: self.attempt,
                     verdict,
                 };
-                let held = driver::Held::Answer(Box::new(answer));
-                self.driver.hold(self.attempt, self.caller, held, event);
+                let held = driver::HeldResponse::Complete(Box::new(response));
+                self.driver
+                    .hold_response(self.attempt, self.caller, held, event);
                 Ok(())
             }
         }
     }
 
-    /// Tells the core task what the upstream says of itself beside its answer, before anything of the answer goes on.
-    fn tell(&self, status: StatusCode, notice: Notice) {
+    /// Reports the upstream's notice about itself to the core task, before any part of the response is forwarded.
+    fn report_notice(&self, status: StatusCode, notice: Notice) {
         if !notice.is_plain() {
-            note::notice(&self.run, &self.upstream_name, status, &notice);
+            request_log::log_notice(&self.request_id, &self.upstream_name, status, &notice);
         }
         if notice != Notice::default() {
-            self.driver.event(Event::NoticeReceived {
+            self.driver.send_event(Event::NoticeReceived {
                 attempt: self.attempt,
                 notice,
                 upstream: self.upstream,
@@ -161,9 +172,13 @@
         }
     }
 
-    /// Reads events up to the end, which the answer marks if it has a length or comes in chunks. What is
-    /// left behind the last whole event is dropped.
-    async fn stream(&self, mut body: hyper::body::Incoming, marked: bool) -> Result<(), Failure> {
+    /// Reads the events of a stream up to its end; `has_end_marker` tells whether the response has a length or is chunked,
+    /// so that its end is explicit. Bytes after the last complete event are dropped, and the stream counts as broken.
+    async fn read_stream(
+        &self,
+        mut body: hyper::body::Incoming,
+        has_end_marker: bool,
+    ) -> Result<(), Failure> {
         let mut buffer = Vec::new();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| Failure::Broken)?;
@@ -174,7 +189,7 @@
             while let Some(end) = event_end(&buffer) {
                 let event: Vec<u8> = buffer.drain(..end).collect();
                 let position = platform::response::position(&event).ok_or(Failure::Broken)?;
-                self.driver.event(Event::StreamEvent {
+                self.driver.send_event(Event::StreamEvent {
                     attempt: self.attempt,
                     bytes: event.into(),
                     position,
@@ -184,17 +199,19 @@
         if !buffer.is_empty() {
             return Err(Failure::Broken);
         }
-        self.driver.event(Event::StreamEnded {
+        self.driver.send_event(Event::StreamEnded {
             attempt: self.attempt,
-            marked,
+            marked: has_end_marker,
         });
         Ok(())
     }
 }
 
-/// Where the first event of a buffer ends, with the empty line behind it.
+/// Length of the first event in a buffer, with the empty line that ends it; `None` if the event is incomplete.
 fn event_end(buffer: &[u8]) -> Option<usize> {
-    const END: &[u8] = b"\n\n";
-    let start = buffer.windows(END.len()).position(|bytes| bytes == END)?;
-    Some(start + END.len())
+    const DELIMITER: &[u8] = b"\n\n";
+    let start = buffer
+        .windows(DELIMITER.len())
+        .position(|bytes| bytes == DELIMITER)?;
+    Some(start + DELIMITER.len())
 }
--- a/crates/node/src/instance.rs
+++ b/crates/node/src/instance.rs
@@ -1,13 +1,13 @@
-//! One instance: its tasks, started and stopped together.
+//! Start and stop of an instance with all of its tasks.
 
 use super::*;
 
-/// Time between two looks at whether a stopping instance may leave.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping instance checks whether requests still run.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A running instance.
+/// A running instance; dropping it aborts its tasks.
 pub struct Instance {
-    drained: watch::Receiver<bool>,
+    drain_requested: watch::Receiver<bool>,
     driver: Driver,
     server: salvo::server::ServerHandle,
     serving: JoinHandle<()>,
@@ -26,17 +26,17 @@
 }
 
 impl Instance {
-    /// Starts every task of an instance.
+    /// Binds all addresses and starts all tasks of an instance.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
         let clock = Clock::new();
-        let patience = Duration::from_millis(settings.store_timeout_ms);
+        let store_timeout = Duration::from_millis(settings.store_timeout_ms);
         let traffic = Traffic::default();
-        let store = Store::new(settings.platform.store, patience, &traffic);
-        let (claims, claim_orders) = mpsc::unbounded_channel();
-        let (orders, revision_orders) = mpsc::unbounded_channel();
-        let (held, held_here) = watch::channel(revision::Held::default());
-        let (list, listed) = watch::channel(Vec::new());
-        let (peers, peers_heard) = watch::channel(peer::Peers::new());
+        let store = Store::new(settings.platform.store, store_timeout, &traffic);
+        let (claims, claim_receiver) = mpsc::unbounded_channel();
+        let (orders, revision_receiver) = mpsc::unbounded_channel();
+        let (held, held_receiver) = watch::channel(revision::ActiveConfig::default());
+        let (list, list_receiver) = watch::channel(Vec::new());
+        let (peers, peers_receiver) = watch::channel(peer::Peers::new());
         let stopping = Arc::new(AtomicBool::new(false));
 
         let peer_socket = listen(settings.listen.peers).await?;
@@ -46,43 +46,43 @@
             .await
             .map_err(|error| Error::Bind(settings.listen.callers, std::io::Error::other(error)))?;
 
-        let (leaving, leaving_here) = watch::channel(driver::Leaving::new());
+        let (leaving, leaving_receiver) = watch::channel(driver::LeavingUpstreams::new());
         let meter = meter::Meter::new(settings.metrics);
-        let ends = driver::Ends::new(claims.clone(), leaving, meter, traffic.clone());
+        let ends = driver::CoreOutputs::new(claims.clone(), leaving, meter, traffic.clone());
         let (driver, core) = Driver::start(&settings, clock, ends);
         let claimer = claimer::Claimer {
+            claims: claims.clone(),
             driver: driver.clone(),
-            list: listed.clone(),
-            orders: claims.clone(),
+            list: list_receiver.clone(),
             settings: settings.clone(),
             store: store.clone(),
         };
         let links = peer::Links {
+            active_config: held_receiver.clone(),
             claims,
+            config_commands: orders.clone(),
             driver: driver.clone(),
-            leaving: leaving_here,
-            held: held_here.clone(),
-            orders: orders.clone(),
+            leaving: leaving_receiver,
             peers,
             settings: settings.clone(),
             traffic: traffic.clone(),
         };
-        let (drain, drained) = watch::channel(false);
+        let (drain, drain_requested) = watch::channel(false);
         let operators = operator::Service {
+            active_config: held_receiver.clone(),
+            config_commands: orders.clone(),
             drain,
             driver: driver.clone(),
-            held: held_here.clone(),
-            list: listed.clone(),
-            orders: orders.clone(),
-            peers: peers_heard,
+            list: list_receiver.clone(),
+            peers: peers_receiver,
             settings: settings.clone(),
             stopping: stopping.clone(),
         };
         let revisions = revision::Task {
+            active_config: held,
             clock,
             driver: driver.clone(),
-            held,
-            list: listed.clone(),
+            list: list_receiver.clone(),
             store: store.clone(),
         };
         let router = caller::router(&settings, &driver, &stopping);
@@ -90,31 +90,31 @@
         let handle = server.handle();
         let tasks = vec![
             core,
-            tokio::spawn(claimer.run(claim_orders)),
-            tokio::spawn(list::run(
+            tokio::spawn(claimer.run(claim_receiver)),
+            tokio::spawn(instance_list::poll(
                 settings.clone(),
                 clock,
                 driver.clone(),
                 list,
                 traffic,
             )),
-            tokio::spawn(revisions.run(revision_orders)),
-            tokio::spawn(revision::watch(
+            tokio::spawn(revisions.run(revision_receiver)),
+            tokio::spawn(revision::watch_head(
                 settings.clone(),
                 store,
-                listed.clone(),
+                list_receiver.clone(),
                 orders,
-                held_here,
+                held_receiver,
             )),
             tokio::spawn(links.clone().accept(peer_socket)),
-            tokio::spawn(links.connect(listed)),
+            tokio::spawn(links.connect(list_receiver)),
             tokio::spawn(serve_operators(operators, operator_socket)),
         ];
         let serving = tokio::spawn(server.serve(router));
         let address = settings.listen.callers.to_string();
         info!(address; "started");
         Ok(Self {
-            drained,
+            drain_requested,
             driver,
             server: handle,
             serving,
@@ -124,36 +124,41 @@
         })
     }
 
-    /// Waits until an operator asks that the instance stop.
-    pub async fn drained(&self) {
-        let mut drained = self.drained.clone();
-        if drained.wait_for(|drained| *drained).await.is_err() {
-            // The operators' side has ended; only a signal can stop the instance now.
-            std::future::pending::<()>().await;
-        }
-    }
-
-    /// Stops as planned: is no longer ready, answers what it has and what still comes, and leaves
-    /// when nothing has run for a while.
+    /// Shuts down gracefully: reports that it is not ready, goes on serving running and new requests,
+    /// and stops once no request has run for `settle_ms`.
     pub async fn stop(mut self) {
         self.stopping.store(true, Ordering::Relaxed);
         let settle = Duration::from_millis(self.settings.settle_ms);
-        let mut quiet = Instant::now();
-        while quiet.elapsed() < settle {
-            sleep(LOOK).await;
+        let mut idle_since = Instant::now();
+        while idle_since.elapsed() < settle {
+            sleep(POLL_INTERVAL).await;
             if self.driver.status().await.running > 0 {
-                quiet = Instant::now();
+                idle_since = Instant::now();
             }
         }
         self.server.stop_graceful(None);
         let _ = (&mut self.serving).await;
     }
+
+    /// Waits until an operator requests that the instance drain and stop.
+    pub async fn wait_for_drain_request(&self) {
+        let mut drain_requested = self.drain_requested.clone();
+        if drain_requested
+            .wait_for(|drain_requested| *drain_requested)
+            .await
+            .is_err()
+        {
+            // The operator server has ended: only a signal can stop the instance now.
+            std::future::pending::<()>().await;
+        }
+    }
 }
 
-/// Waits until the process is told to stop.
-pub(crate) async fn terminated() {
+/// Waits for SIGTERM or SIGINT.
+pub(crate) async fn wait_for_termination() {
     use tokio::signal::unix::{SignalKind, signal};
-    let mut terminate = signal(SignalKind::terminate()).expect("signals can be waited for");
+    let mut terminate =
+        signal(SignalKind::terminate()).expect("the SIGTERM handler can be installed");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
@@ -174,6 +179,6 @@
         .serve_with_incoming(incoming)
         .await;
     if let Err(error) = served {
-        error!("operators: {error}");
+        error!("operator server failed: {error}");
     }
 }
--- /dev/null
+++ b/crates/node/src/instance_list.rs
@@ -0,0 +1,105 @@
+//! The platform's list of instances, polled with `GET /instances`. The list lags behind the fleet.
+
+use super::*;
+
+/// Time-out of a read.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// An instance on the list.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+pub(crate) struct ListedInstance {
+    /// Address on which it listens for other instances.
+    pub address: SocketAddr,
+    /// Data centre in which it runs.
+    pub data_centre: String,
+    /// Unique name.
+    pub instance: String,
+    /// Pool that it belongs to.
+    pub pool: String,
+    /// Whether it is leaving.
+    pub leaving: bool,
+}
+
+/// Result of a read.
+enum ReadResult {
+    /// The instances, and the entity tag with which the next read asks whether they have changed.
+    Changed(Vec<ListedInstance>, Option<header::HeaderValue>),
+    /// No valid response in time.
+    Failed,
+    /// The list has not changed since the last read.
+    Unchanged,
+}
+
+/// Polls the list until the instance ends and passes it to the core task and the other tasks. The list service does not
+/// send a list again that has not changed since the last read.
+pub(crate) async fn poll(
+    settings: Settings,
+    clock: Clock,
+    driver: Driver,
+    sender: watch::Sender<Vec<ListedInstance>>,
+    traffic: Traffic,
+) {
+    let http = HttpClient::metered(&traffic);
+    let mut ticks = interval(Duration::from_millis(settings.list_ms));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut etag = None;
+    loop {
+        ticks.tick().await;
+        let requested_at = clock.now();
+        match read(&http, settings.platform.list, etag.as_ref()).await {
+            ReadResult::Changed(instances, new_etag) => {
+                etag = new_etag;
+                let entries = Some(instances.iter().map(list_entry).collect());
+                driver.send_event(Event::List {
+                    requested_at,
+                    entries,
+                });
+                sender.send_replace(instances);
+            }
+            ReadResult::Failed => warn!("reading the platform's list of instances failed"),
+            ReadResult::Unchanged => driver.send_event(Event::List {
+                requested_at,
+                entries: None,
+            }),
+        }
+    }
+}
+
+fn list_entry(instance: &ListedInstance) -> event::ListEntry {
+    event::ListEntry {
+        address: instance.address,
+        born: 0,
+        data_centre: instance.data_centre.clone(),
+        leaving: instance.leaving,
+        name: instance.instance.clone(),
+        pool: instance.pool.clone(),
+        registered_at: Position::default(),
+        slots: 0,
+        version: String::new(),
+    }
+}
+
+async fn read(
+    http: &HttpClient,
+    address: SocketAddr,
+    etag: Option<&header::HeaderValue>,
+) -> ReadResult {
+    let mut request = http::get(address, "/instances");
+    if let Some(etag) = etag {
+        let headers = request.headers_mut();
+        headers.insert(header::IF_NONE_MATCH, etag.clone());
+    }
+    let exchange = timeout(RESPONSE_TIMEOUT, http.exchange_with_headers(request));
+    let Ok(Ok(response)) = exchange.await else {
+        return ReadResult::Failed;
+    };
+    let etag = response.headers().get(header::ETAG).cloned();
+    match response.status() {
+        StatusCode::NOT_MODIFIED => ReadResult::Unchanged,
+        StatusCode::OK => serde_json::from_slice(response.body())
+            .map_or(ReadResult::Failed, |instances| {
+                ReadResult::Changed(instances, etag)
+            }),
+        _ => ReadResult::Failed,
+    }
+}
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,42 +7,42 @@
 pub mod error;
 pub mod hosted;
 pub mod instance;
-pub mod keeper;
 pub mod members;
 pub mod reader;
 pub mod settings;
+pub mod store_writer;
 
-mod account;
-mod answer;
 mod caller;
 mod calls;
-mod check;
+mod claim_forwarder;
 mod claimer;
 mod committer;
+mod completion_response;
 mod completions;
+mod core_settings;
+mod crash_check;
+mod crash_history;
 mod engine;
-mod feed;
 mod forward;
-mod forwarder;
 mod gossip;
 mod http;
-mod learner;
-mod list;
+mod instance_list;
 mod logger;
 mod meter;
-mod note;
 mod operator;
 mod peer;
 mod plain;
+mod platform_store;
 mod probe;
 mod relay;
 mod reload;
 mod reply;
+mod request_log;
 mod revision;
 mod store;
+mod store_sync;
 mod traffic;
-mod tuning;
-mod unknown;
+mod unknown_headers;
 
 pub use {caller::fingerprint, clock::Clock, error::Error, instance::Instance, settings::Settings};
 
@@ -53,7 +53,7 @@
     clap::{Arg, ArgMatches, Command},
     driver::Driver,
     futures_util::{SinkExt, Stream, StreamExt},
-    http::Http,
+    http::HttpClient,
     http_body_util::{BodyExt, Full},
     hyper::{Request, StatusCode, header},
     hyper_util::{
@@ -104,7 +104,7 @@
         kind::{Kind, Ran},
         position::Position,
         request::{self, Caller, Work},
-        sighting::{Sighting, Stage},
+        stream_record::{Stage, StreamRecord},
         upstream::{self, Load},
     },
     wellplank_platform as platform,
@@ -114,11 +114,11 @@
     },
 };
 
-/// Runs the command that the arguments name.
+/// Parses the command line, runs its subcommand and returns the exit code of the process.
 pub fn run() -> ExitCode {
-    let ended = arguments::run(&arguments::command().get_matches());
-    logger::finish();
-    match ended {
+    let result = arguments::run(&arguments::command().get_matches());
+    logger::flush();
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error}");
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -1,40 +1,40 @@
-//! Counters and latency histograms: kept for `wellplankctl status`, sent to a statsd sink, and given
-//! as a text page.
+//! Counters and latency histograms, for `wellplankctl status`, a statsd sink and scrapes by
+//! Prometheus.
 
 use super::*;
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, Opts, Registry, TextEncoder,
 };
 
-/// Prefix of every metric.
+/// Prefix of all metrics sent to statsd.
 const PREFIX: &str = "wellplank";
 
-/// Bounds of the buckets of every histogram, in milliseconds: from the time of a call within a data
-/// centre to that of a long answer, with the pauses and objectives of callers between.
-const BUCKETS: [f64; 14] = [
+/// Upper bounds of the buckets of all histograms, in milliseconds: from a call within a data centre
+/// to a long response, with the latency objectives and tolerated pauses of callers in between.
+const BUCKET_BOUNDS_MS: [f64; 14] = [
     2.0, 5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 700.0, 1_500.0, 3_000.0, 4_500.0, 10_000.0,
     25_000.0,
 ];
 
-/// What is timed at the edges, beside the core's timings.
+/// What a latency histogram measures: one label value per variant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Timed {
-    /// What the core times.
+pub(crate) enum Latency {
+    /// A latency reported by the core.
     Core(Timing),
-    /// A call of the platform's store that is no waiting read.
+    /// A call of the platform's store other than a long poll.
     Store,
 }
 
-/// Counters and histograms of an instance. Clones share them.
+/// Counters and histograms of an instance, shared by all clones.
 #[derive(Clone)]
 pub(crate) struct Meter {
-    client: Option<Arc<StatsdClient>>,
+    statsd: Option<Arc<StatsdClient>>,
     counters: IntCounterVec,
     histograms: HistogramVec,
     registry: Registry,
 }
 
-impl Timed {
+impl Latency {
     fn name(self) -> &'static str {
         match self {
             Self::Core(Timing::Answer) => "answer",
@@ -47,17 +47,17 @@
 }
 
 impl Meter {
-    /// Counts something.
+    /// Adds `count` to a counter, also at the statsd sink.
     pub fn count(&self, counter: Counter, count: u64) {
         let name = counter.to_string();
         self.counters.with_label_values(&[&name]).inc_by(count);
-        if let Some(client) = &self.client {
-            // A sink that is away must not stop the instance.
+        if let Some(client) = &self.statsd {
+            // An unreachable sink must not stop the instance.
             let _ = client.count(&name, count.cast_signed());
         }
     }
 
-    /// All counts by name.
+    /// The values of all counters, by name.
     pub fn counts(&self) -> Vec<schema::Count> {
         let families = self.registry.gather();
         let counters = families
@@ -76,13 +76,15 @@
             .collect()
     }
 
-    /// Counters that are sent to `sink`, if one is given.
+    /// Creates empty metrics; counters are also sent to the statsd server at `sink`, if any.
     pub fn new(sink: Option<SocketAddr>) -> Self {
         let counters = Opts::new("wellplank_events_total", "Events by their name.");
-        let counters = IntCounterVec::new(counters, &["event"]).expect("the names are valid");
+        let counters =
+            IntCounterVec::new(counters, &["event"]).expect("metric and label names are valid");
         let histograms = HistogramOpts::new("wellplank_latency_ms", "Times in milliseconds.")
-            .buckets(BUCKETS.to_vec());
-        let histograms = HistogramVec::new(histograms, &["what"]).expect("the names are valid");
+            .buckets(BUCKET_BOUNDS_MS.to_vec());
+        let histograms =
+            HistogramVec::new(histograms, &["what"]).expect("metric and label names are valid");
         let registry = Registry::new();
         for collector in [
             Box::new(counters.clone()) as Box<dyn prometheus::core::Collector>,
@@ -90,45 +92,45 @@
         ] {
             registry
                 .register(collector)
-                .expect("each name is registered once");
+                .expect("each metric is registered once");
         }
         Self {
-            client: sink.and_then(Self::client).map(Arc::new),
+            statsd: sink.and_then(Self::connect_statsd).map(Arc::new),
             counters,
             histograms,
             registry,
         }
     }
 
-    /// The text page.
-    pub fn page(&self) -> Vec<u8> {
+    /// Adds an observation in milliseconds to the histogram of a latency.
+    pub fn observe(&self, latency: Latency, millis: f64) {
+        self.histograms
+            .with_label_values(&[latency.name()])
+            .observe(millis);
+    }
+
+    /// All metrics in the Prometheus text format.
+    pub fn render(&self) -> Vec<u8> {
         let mut page = Vec::new();
         let families = self.registry.gather();
         if let Err(error) = TextEncoder::new().encode(&families, &mut page) {
-            warn!("the page of counters can not be written: {error}");
+            warn!("failed to encode the metrics: {error}");
         }
-        let dropped = logger::dropped();
+        let dropped = logger::dropped_lines();
         let name = "wellplank_log_lines_dropped_total";
         page.extend_from_slice(format!("# TYPE {name} counter\n{name} {dropped}\n").as_bytes());
         page
     }
 
-    /// Notes how long something took, in milliseconds.
-    pub fn time(&self, timed: Timed, millis: f64) {
-        self.histograms
-            .with_label_values(&[timed.name()])
-            .observe(millis);
-    }
-
-    fn client(sink: SocketAddr) -> Option<StatsdClient> {
+    fn connect_statsd(sink: SocketAddr) -> Option<StatsdClient> {
         let socket = std::net::UdpSocket::bind("0.0.0.0:0").ok()?;
         socket.set_nonblocking(true).ok()?;
         let sink = UdpMetricSink::from(sink, socket).ok()?;
         let queue = QueuingMetricSink::with_capacity(sink, 10_000);
-        Some(Self::statsd(queue))
+        Some(Self::statsd_client(queue))
     }
 
-    fn statsd(
+    fn statsd_client(
         sink: impl MetricSink + Send + Sync + std::panic::RefUnwindSafe + 'static,
     ) -> StatsdClient {
         StatsdClient::from_sink(PREFIX, sink)
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,135 +1,136 @@
-//! Links between instances: heartbeats that carry the head of the configuration.
+//! Connections between instances, for heartbeats with the head of the configuration, parts of the
+//! configuration, and forwarded claims.
 
 use super::*;
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 
-/// Time after which a link on which nothing came is given up on, in heartbeats.
-const SILENCE: u32 = 6;
+/// Number of heartbeat intervals without a frame after which a connection is closed.
+const MISSED_HEARTBEATS_MAX: u32 = 6;
 
-/// Bytes before each frame that hold its length.
-const FRAME_HEAD: usize = 4;
+/// Size of the length prefix of a frame, in bytes.
+const FRAME_LENGTH_BYTES: usize = 4;
 
-/// Time that an instance asked by itself has to answer.
-const ASK: Duration = Duration::from_millis(500);
+/// Time within which an instance must answer a single request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Instances asked for parts before the key-value service is.
-const FETCH_PEERS: usize = 2;
+/// Number of instances asked for parts before they are read from the key-value service.
+const FETCH_PEERS_MAX: usize = 2;
 
-/// What is known of another instance.
+/// State of another instance, as reported by its heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
-    /// Time of its last heartbeat.
-    pub heard: Instant,
-    /// Revision that it has in force.
+    /// When its last heartbeat arrived.
+    pub last_heartbeat: Instant,
+    /// Revision of the configuration in force there; 0 for none.
     pub revision: u64,
 }
 
-/// Peers by name.
+/// Known peers by name.
 pub(crate) type Peers = BTreeMap<String, Peer>;
 
-/// What every link needs.
+/// The connections to other instances, and what each of them needs.
 #[derive(Clone)]
 pub(crate) struct Links {
-    /// Where claims that peers hand on are sent.
-    pub claims: mpsc::UnboundedSender<claimer::Order>,
+    /// The configuration in force here.
+    pub active_config: watch::Receiver<revision::ActiveConfig>,
+    /// Channel for claims that peers forward.
+    pub claims: mpsc::UnboundedSender<claimer::PendingClaim>,
+    /// Channel for heads received from peers.
+    pub config_commands: mpsc::UnboundedSender<revision::Command>,
     /// The core task.
     pub driver: Driver,
-    /// Upstreams that are leaving, to be told to peers.
-    pub leaving: watch::Receiver<driver::Leaving>,
-    /// The configuration held here.
-    pub held: watch::Receiver<revision::Held>,
-    /// Where heads that come are sent.
-    pub orders: mpsc::UnboundedSender<revision::Order>,
-    /// Peers heard of.
+    /// Leaving upstreams, announced by heartbeats.
+    pub leaving: watch::Receiver<driver::LeavingUpstreams>,
+    /// Peers that have sent a heartbeat.
     pub peers: watch::Sender<Peers>,
-    /// Settings.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// Where frames are counted.
+    /// Counts frames.
     pub traffic: Traffic,
 }
 
 impl Links {
-    /// Accepts links of other instances.
+    /// Accepts connections of other instances.
     pub async fn accept(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((socket, _)) => {
-                    tokio::spawn(self.clone().link(socket));
+                    tokio::spawn(self.clone().serve(socket));
                 }
                 Err(error) => {
-                    warn!("peer: {error}");
+                    warn!("accepting a connection of a peer: {error}");
                     sleep(Duration::from_millis(self.settings.heartbeat_ms)).await;
                 }
             }
         }
     }
 
-    /// Keeps links to a few other instances.
-    pub async fn connect(self, list: watch::Receiver<Vec<list::Line>>) {
+    /// Maintains connections to a few other instances.
+    pub async fn connect(self, list: watch::Receiver<Vec<instance_list::ListedInstance>>) {
         let mut links: HashMap<SocketAddr, JoinHandle<()>> = HashMap::new();
         let mut ticks = interval(Duration::from_millis(self.settings.heartbeat_ms));
         loop {
             ticks.tick().await;
-            let wanted = self.wanted(&list.borrow());
+            let link_targets = self.link_targets(&list.borrow());
             links.retain(|address, link| {
-                let keep = wanted.contains(address);
+                let keep = link_targets.contains(address);
                 if !keep {
                     link.abort();
                 }
                 keep && !link.is_finished()
             });
-            for address in wanted {
+            for address in link_targets {
                 links
                     .entry(address)
-                    .or_insert_with(|| tokio::spawn(self.clone().dial(address)));
+                    .or_insert_with(|| tokio::spawn(self.clone().open(address)));
             }
         }
     }
 
-    async fn dial(self, address: SocketAddr) {
+    async fn open(self, address: SocketAddr) {
         match TcpStream::connect(address).await {
-            Ok(socket) => self.link(socket).await,
-            Err(error) => debug!("peer {address}: {error}"),
+            Ok(socket) => self.serve(socket).await,
+            Err(error) => debug!("connecting to peer {address}: {error}"),
         }
     }
 
-    /// Serves one link until it ends; a wrong frame ends it.
-    async fn link(self, socket: TcpStream) {
-        let beat = Duration::from_millis(self.settings.heartbeat_ms);
-        let mut held = self.held.clone();
+    /// Serves a connection until it ends; closes it on an invalid frame.
+    async fn serve(self, socket: TcpStream) {
+        let heartbeat_interval = Duration::from_millis(self.settings.heartbeat_ms);
+        let mut active_config = self.active_config.clone();
         let mut leaving = self.leaving.clone();
         let (answers, mut answered) = mpsc::unbounded_channel();
         let _ = socket.set_nodelay(true);
         let mut frames = Framed::new(socket, frame::Codec::new());
-        let mut last = Instant::now();
+        let mut last_frame = Instant::now();
         let mut known = 0;
-        let mut ticks = interval(beat);
+        let mut ticks = interval(heartbeat_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        while last.elapsed() < beat * SILENCE {
+        while last_frame.elapsed() < heartbeat_interval * MISSED_HEARTBEATS_MAX {
             tokio::select! {
                 frame = frames.next() => match frame {
                     Some(Ok(frame)) => {
-                        last = Instant::now();
-                        self.traffic.count(FRAME_HEAD + frame.encoded_len());
-                        if let Some(peers::frame::Body::Heartbeat(beat)) = &frame.body {
-                            known = beat.revision;
+                        last_frame = Instant::now();
+                        self.traffic.count(FRAME_LENGTH_BYTES + frame.encoded_len());
+                        if let Some(peers::frame::Body::Heartbeat(heartbeat)) = &frame.body {
+                            known = heartbeat.revision;
                         }
-                        if !self.take(frame, &answers) {
-                            warn!("peer: a frame holds what it may not");
+                        if !self.handle(frame, &answers) {
+                            warn!("closing a connection to a peer: invalid frame");
                             return;
                         }
                         continue;
                     }
                     Some(Err(error)) => {
-                        warn!("peer: {error}");
+                        warn!("reading from a peer: {error}");
                         return;
                     }
                     None => return,
                 },
                 answer = answered.recv() => {
                     let Some(answer) = answer else { return };
-                    self.traffic.count(FRAME_HEAD + answer.encoded_len());
+                    self.traffic.count(FRAME_LENGTH_BYTES + answer.encoded_len());
                     if frames.send(answer).await.is_err() {
                         return;
                     }
@@ -139,23 +140,29 @@
                 changed = leaving.changed() => if changed.is_err() {
                     return;
                 },
-                changed = held.changed() => if changed.is_err() {
+                changed = active_config.changed() => if changed.is_err() {
                     return;
                 },
             }
             let names = leaving.borrow_and_update().keys().cloned().collect();
-            let heartbeat = self.heartbeat(&held.borrow_and_update(), names, known);
-            self.traffic.count(FRAME_HEAD + heartbeat.encoded_len());
+            let heartbeat = self.heartbeat(&active_config.borrow_and_update(), names, known);
+            self.traffic
+                .count(FRAME_LENGTH_BYTES + heartbeat.encoded_len());
             if frames.send(heartbeat).await.is_err() {
                 return;
             }
         }
     }
 
-    /// A heartbeat for a peer that is known to have revision `known`.
-    fn heartbeat(&self, held: &revision::Held, leaving: Vec<String>, known: u64) -> peers::Frame {
-        let head = if held.head.revision > known {
-            held.head.encode_to_vec()
+    /// A heartbeat for a peer with revision `known`; includes the head only if that is older.
+    fn heartbeat(
+        &self,
+        active: &revision::ActiveConfig,
+        leaving: Vec<String>,
+        known: u64,
+    ) -> peers::Frame {
+        let head = if active.head.revision > known {
+            active.head.encode_to_vec()
         } else {
             Vec::new()
         };
@@ -163,18 +170,18 @@
             head,
             instance: self.settings.instance.clone(),
             leaving,
-            revision: held.head.revision,
+            revision: active.head.revision,
         });
         peers::Frame { body: Some(body) }
     }
 
-    /// Takes in a frame; false if it holds what it may not.
-    fn take(&self, frame: peers::Frame, answers: &mpsc::UnboundedSender<peers::Frame>) -> bool {
+    /// Handles a frame; returns false if it is invalid.
+    fn handle(&self, frame: peers::Frame, answers: &mpsc::UnboundedSender<peers::Frame>) -> bool {
         match frame.body {
-            Some(peers::frame::Body::ClaimBatch(batch)) => self.take_claims(&batch, answers),
-            Some(peers::frame::Body::Heartbeat(beat)) => self.take_heartbeat(beat),
+            Some(peers::frame::Body::ClaimBatch(batch)) => self.handle_claims(&batch, answers),
+            Some(peers::frame::Body::Heartbeat(heartbeat)) => self.handle_heartbeat(heartbeat),
             Some(peers::frame::Body::PartRequest(request)) => {
-                let parts = self.held.borrow().parts.clone();
+                let parts = self.active_config.borrow().parts.clone();
                 let found = request
                     .digests
                     .iter()
@@ -190,13 +197,17 @@
         }
     }
 
-    /// Has claims committed that a peer handed on, and answers when all are settled.
-    fn take_claims(
+    /// Commits claims that a peer forwarded, and answers when all have an outcome.
+    fn handle_claims(
         &self,
         batch: &peers::ClaimBatch,
         answers: &mpsc::UnboundedSender<peers::Frame>,
     ) -> bool {
-        let claims: Option<Vec<Claim>> = batch.claims.iter().map(forwarder::decode).collect();
+        let claims: Option<Vec<Claim>> = batch
+            .claims
+            .iter()
+            .map(claim_forwarder::decode_claim)
+            .collect();
         let Some(claims) = claims else {
             return false;
         };
@@ -204,54 +215,55 @@
             .into_iter()
             .map(|claim| {
                 let (sender, receiver) = oneshot::channel();
-                let _ = self.claims.send(claimer::Order {
+                let _ = self.claims.send(claimer::PendingClaim {
                     claim,
-                    here: true,
-                    settle: claimer::Settle::There(sender),
+                    commit_here: true,
+                    reply_to: claimer::ReplyTo::Peer(sender),
                 });
                 receiver
             })
             .collect();
         let (id, answers) = (batch.id, answers.clone());
         tokio::spawn(async move {
-            let mut settled = Vec::with_capacity(outcomes.len());
+            let mut encoded = Vec::with_capacity(outcomes.len());
             for outcome in outcomes {
                 let outcome = outcome.await.unwrap_or(ClaimOutcome::Unavailable);
-                settled.push(forwarder::encode_outcome(outcome));
+                encoded.push(claim_forwarder::encode_outcome(outcome));
             }
             let body = peers::frame::Body::ClaimOutcomes(peers::ClaimOutcomes {
                 id,
-                outcomes: settled,
+                outcomes: encoded,
             });
             let _ = answers.send(peers::Frame { body: Some(body) });
         });
         true
     }
 
-    fn take_heartbeat(&self, beat: peers::Heartbeat) -> bool {
-        let Ok(head) = Head::decode(&beat.head[..]) else {
+    fn handle_heartbeat(&self, heartbeat: peers::Heartbeat) -> bool {
+        let Ok(head) = Head::decode(&heartbeat.head[..]) else {
             return false;
         };
         let peer = Peer {
-            heard: Instant::now(),
-            revision: beat.revision,
+            last_heartbeat: Instant::now(),
+            revision: heartbeat.revision,
         };
         self.peers.send_modify(|peers| {
-            peers.insert(beat.instance, peer);
+            peers.insert(heartbeat.instance, peer);
         });
-        for name in beat.leaving {
-            self.driver.event(Event::Leaving(name));
+        for name in heartbeat.leaving {
+            self.driver.send_event(Event::Leaving(name));
         }
-        if head.revision > self.held.borrow().head.revision {
-            let _ = self.orders.send(revision::Order::Head(head));
+        if head.revision > self.active_config.borrow().head.revision {
+            let _ = self.config_commands.send(revision::Command::Head(head));
         }
         true
     }
 
-    /// Addresses to link to: those ranked first by a hash of both names, so that links are spread.
-    fn wanted(&self, list: &[list::Line]) -> HashSet<SocketAddr> {
+    /// Addresses to connect to: those ranked first by a hash of both names, which spreads the
+    /// connections evenly.
+    fn link_targets(&self, list: &[instance_list::ListedInstance]) -> HashSet<SocketAddr> {
         let own = &self.settings.instance;
-        let mut others: Vec<&list::Line> = list
+        let mut others: Vec<&instance_list::ListedInstance> = list
             .iter()
             .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL)
             .filter(|line| line.instance != *own)
@@ -265,23 +277,27 @@
     }
 }
 
-/// Asks a few instances for parts of the configuration; those that come first are taken.
-pub(crate) async fn fetch_parts(list: &[list::Line], digests: &[Vec<u8>]) -> Vec<Bytes> {
-    let mut instances: Vec<&list::Line> = list
+/// Requests parts of the configuration from random instances, one after another; returns those of
+/// the last answer. Stops at an answer with as many parts as requested.
+pub(crate) async fn fetch_parts(
+    list: &[instance_list::ListedInstance],
+    digests: &[Vec<u8>],
+) -> Vec<Bytes> {
+    let mut instances: Vec<&instance_list::ListedInstance> = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL)
         .collect();
     let mut found = Vec::new();
-    for _ in 0..FETCH_PEERS.min(instances.len()) {
+    for _ in 0..FETCH_PEERS_MAX.min(instances.len()) {
         let peer = instances.swap_remove(rand::random_range(0..instances.len()));
         let body = peers::frame::Body::PartRequest(peers::PartRequest {
             digests: digests.to_vec(),
         });
-        let asked = ask(peer.address, body, |body| match body {
+        let response = request(peer.address, body, |body| match body {
             peers::frame::Body::Parts(parts) => Some(parts.parts),
             _ => None,
         });
-        if let Ok(Some(parts)) = timeout(ASK, asked).await {
+        if let Ok(Some(parts)) = timeout(REQUEST_TIMEOUT, response).await {
             found = parts.into_iter().map(Bytes::from).collect();
         }
         if found.len() == digests.len() {
@@ -291,18 +307,20 @@
     found
 }
 
-/// Asks every instance on the list for the revision that it has in force.
-pub(crate) async fn revisions(list: &[list::Line]) -> Vec<schema::PeerState> {
-    let asked = list
+/// Requests from every listed instance the revision in force there.
+pub(crate) async fn fetch_revisions(
+    list: &[instance_list::ListedInstance],
+) -> Vec<schema::PeerState> {
+    let states = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
         .map(async |line| {
             let body = peers::frame::Body::PartRequest(peers::PartRequest::default());
-            let heard = ask(line.address, body, |body| match body {
-                peers::frame::Body::Heartbeat(beat) => Some(beat.revision),
+            let response = request(line.address, body, |body| match body {
+                peers::frame::Body::Heartbeat(heartbeat) => Some(heartbeat.revision),
                 _ => None,
             });
-            let revision = timeout(ASK, heard).await.ok().flatten();
+            let revision = timeout(REQUEST_TIMEOUT, response).await.ok().flatten();
             schema::PeerState {
                 name: line.instance.clone(),
                 reachable: revision.is_some(),
@@ -310,21 +328,21 @@
                 silent_ms: 0,
             }
         });
-    futures_util::future::join_all(asked).await
+    futures_util::future::join_all(states).await
 }
 
-/// Sends one frame to an instance and waits for the answer that `take` takes.
-async fn ask<T>(
+/// Sends one frame to an instance and waits for the first answer that `decode` accepts.
+async fn request<T>(
     address: SocketAddr,
     body: peers::frame::Body,
-    take: impl Fn(peers::frame::Body) -> Option<T>,
+    decode: impl Fn(peers::frame::Body) -> Option<T>,
 ) -> Option<T> {
     let socket = TcpStream::connect(address).await.ok()?;
     let mut frames = Framed::new(socket, frame::Codec::new());
     let frame = peers::Frame { body: Some(body) };
     frames.send(frame).await.ok()?;
     while let Some(Ok(frame)) = frames.next().await {
-        if let Some(answer) = frame.body.and_then(&take) {
+        if let Some(answer) = frame.body.and_then(&decode) {
             return Some(answer);
         }
     }
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -1,32 +1,32 @@
-//! Calls of plain services over HTTP.
+//! Client for plain services: calls over HTTP.
 
 use super::*;
 
-/// Header that names the request in the service's logs.
-const REQUEST: &str = "x-request-id";
+/// Header with the identifier of the request, for the service's logs.
+const REQUEST_ID: &str = "x-request-id";
 
-/// Sends one call and tells the core task the answer.
+/// Sends one call and reports the response to the core task.
 pub(crate) async fn run(
-    http: Http,
+    http: HttpClient,
     driver: Driver,
     attempt: attempt::Key,
     upstream: upstream::Key,
     request: Request<http::Body>,
 ) {
     let response = match http.send(request).await {
-        Err(http::Error::NotSent(_)) => return fail(&driver, attempt, Failure::NotSent),
-        Err(http::Error::Broken(_)) => return fail(&driver, attempt, Failure::Broken),
+        Err(http::Error::NotSent(_)) => return report_failure(&driver, attempt, Failure::NotSent),
+        Err(http::Error::Broken(_)) => return report_failure(&driver, attempt, Failure::Broken),
         Ok(response) => response,
     };
     let status = response.status();
-    if engine::refuses(status) {
-        engine::tell(&driver, attempt, upstream, &response);
-        let failure = engine::refusal(&response, false);
-        return fail(&driver, attempt, failure);
+    if engine::is_refusal(status) {
+        engine::report_backoff(&driver, attempt, upstream, &response);
+        let failure = engine::classify_error(&response, false);
+        return report_failure(&driver, attempt, failure);
     }
     match response.into_body().collect().await {
-        Err(_) => fail(&driver, attempt, Failure::Broken),
-        Ok(body) => driver.event(Event::Replied {
+        Err(_) => report_failure(&driver, attempt, Failure::Broken),
+        Ok(body) => driver.send_event(Event::Replied {
             attempt,
             body: body.to_bytes().to_vec(),
             status: status.as_u16(),
@@ -34,22 +34,22 @@
     }
 }
 
-/// The request of a call; `path` is the method and the path.
+/// The HTTP request for a call; `method_and_path` is separated by a space. `None` if it makes no valid request.
 pub(crate) fn request(
     address: SocketAddr,
-    path: &str,
+    method_and_path: &str,
     payload: &[u8],
-    id: u128,
+    request_id: u128,
 ) -> Option<Request<http::Body>> {
-    let (method, path) = path.split_once(' ')?;
+    let (method, path) = method_and_path.split_once(' ')?;
     Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
-        .header(REQUEST, Uuid::from_u128(id).to_string())
+        .header(REQUEST_ID, Uuid::from_u128(request_id).to_string())
         .body(http::Body::from(payload.to_vec()))
         .ok()
 }
 
-fn fail(driver: &Driver, attempt: attempt::Key, failure: Failure) {
-    driver.event(Event::Failed { attempt, failure });
+fn report_failure(driver: &Driver, attempt: attempt::Key, failure: Failure) {
+    driver.send_event(Event::Failed { attempt, failure });
 }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,13 +1,13 @@
-//! Probes of upstreams: `GET /load` answers with the load, and so that the upstream lives.
+//! Health probes of upstreams: `GET /load` returns the load, which also shows that the upstream is alive.
 
 use super::*;
 
-/// Time after which a probe is not waited for; the core gives up on it earlier.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of a probe; the core gives up on it earlier.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A load report, as upstreams answer a probe and engines may add it to the events of a stream.
+/// A load report: the response to a probe, which engines may also add to the events of a stream.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub(crate) struct Report {
+pub(crate) struct LoadReport {
     #[serde(default)]
     leaving: bool,
     running: u32,
@@ -15,8 +15,8 @@
     waiting: u32,
 }
 
-impl Report {
-    /// The report as the core takes it.
+impl LoadReport {
+    /// Converts the report to the core's representation.
     pub fn load(self) -> Load {
         Load {
             leaving: self.leaving,
@@ -27,20 +27,25 @@
     }
 }
 
-/// Probes an upstream and tells the core task what it said.
-pub(crate) async fn run(http: Http, driver: Driver, upstream: upstream::Key, address: SocketAddr) {
+/// Probes an upstream and reports its load and whether it is alive to the core task.
+pub(crate) async fn run(
+    http: HttpClient,
+    driver: Driver,
+    upstream: upstream::Key,
+    address: SocketAddr,
+) {
     let exchange = http.exchange(http::get(address, "/load"));
-    let answer = timeout(PATIENCE, exchange).await;
-    let report = match answer {
-        Ok(Ok((StatusCode::OK, body))) => serde_json::from_slice::<Report>(&body).ok(),
+    let result = timeout(TIMEOUT, exchange).await;
+    let report = match result {
+        Ok(Ok((StatusCode::OK, body))) => serde_json::from_slice::<LoadReport>(&body).ok(),
         _ => None,
     };
     let alive = report.is_some();
     if let Some(report) = report {
-        driver.event(Event::Load {
+        driver.send_event(Event::Load {
             load: report.load(),
             upstream,
         });
     }
-    driver.event(Event::Probed { upstream, alive });
+    driver.send_event(Event::Probed { upstream, alive });
 }
--- /dev/null
+++ b/crates/node/src/request_log.rs
@@ -0,0 +1,98 @@
+//! Log lines about the life cycle of requests, one for each decision that affects a request, and about the status of
+//! upstreams.
+
+use super::*;
+use wellplank_core::{
+    fingerprint::RequestFingerprint,
+    limit::Limit,
+    notice::{Backoff, Notice},
+    quarantine::CrashHistory,
+};
+
+/// Logs a change of an upstream's status.
+pub(crate) fn log_upstream(change: StatusChange, born: u64, silent_ms: u64, upstream: &str) {
+    let change = change.name();
+    info!(upstream, born, belief = change, silent_ms; "upstream");
+}
+
+/// Logs the state that an upstream announced in the headers of a response.
+pub(crate) fn log_notice(request: &str, upstream: &str, status: StatusCode, notice: &Notice) {
+    let status = status.as_u16();
+    let leaving = notice.leaving;
+    let (backoff_ms, is_malformed) = match notice.backoff {
+        Backoff::For(millis) => (millis, false),
+        Backoff::None => (0, false),
+        Backoff::Malformed => (0, true),
+    };
+    let (limit, is_malformed) = match notice.limit {
+        Limit::None | Limit::Unknown => (None, is_malformed),
+        Limit::Malformed => (None, true),
+        Limit::Rate(rate) => (Some(rate.per_second()), is_malformed),
+    };
+    info!(request, upstream, status, leaving, limit, rest_ms = backoff_ms, odd = is_malformed; "upstream said");
+}
+
+/// Logs that a request is refused from now on, with the upstreams that crashed while they ran it, by the hashes of their
+/// names, and whether this instance observed one of the crashes.
+pub(crate) fn log_quarantine(
+    fingerprint: RequestFingerprint,
+    crashes: &CrashHistory,
+    witnessed: bool,
+) {
+    let fingerprint = fingerprint.to_string();
+    let crashes = crashes.crashes();
+    let upstreams: Vec<String> = crashes
+        .map(|(incarnation, _)| incarnation.to_string())
+        .collect();
+    let upstreams = upstreams.join(",");
+    warn!(fingerprint, upstreams, own = witnessed; "quarantined");
+}
+
+/// Logs that a request is no longer refused.
+pub(crate) fn log_release(fingerprint: RequestFingerprint) {
+    let fingerprint = fingerprint.to_string();
+    info!(fingerprint; "no longer quarantined");
+}
+
+/// Logs a step of a request. Relayed requests are identified by the ID that their caller assigned.
+pub(crate) fn log_step(entry: &RequestLog) {
+    let generation = || Uuid::from_u128(entry.generation).to_string();
+    let request = entry.run.as_deref().map_or_else(generation, str::to_owned);
+    let customer = entry.customer.name.as_str();
+    let model = match &entry.service.target {
+        config::Target::Call { .. } | config::Target::Relay(_) => "",
+        config::Target::Generate { model, .. } => model.name.as_str(),
+    };
+    let service = entry.service.name.as_str();
+    let upstream = entry.upstream.as_deref().unwrap_or_default();
+    let position = entry.position;
+    let fingerprint = entry.fingerprint.to_string();
+    match &entry.step {
+        Step::Answered => {
+            info!(request, fingerprint, customer, service, model, upstream, position; "answered");
+        }
+        Step::Attached => {
+            info!(request, customer, service, model, upstream, position; "attached");
+        }
+        Step::Failed(kind) => {
+            let kind = kind.answer().name;
+            warn!(request, fingerprint, customer, service, model, upstream, position, kind; "failed");
+        }
+        Step::Left => info!(request, customer, service, position; "caller left"),
+        Step::Lost(reason) => {
+            let reason = reason.to_string();
+            warn!(request, fingerprint, customer, service, upstream, position, reason; "attempt lost");
+        }
+        Step::Sent {
+            backup,
+            copy,
+            left_ms,
+            list_age_ms,
+        } => {
+            let backup = backup.as_deref().unwrap_or_default();
+            let copy = copy.as_deref().unwrap_or_default();
+            let (left_ms, list_age_ms) = (*left_ms, *list_age_ms);
+            info!(request, fingerprint, customer, service, model, upstream, position, backup, copy, left_ms, list_age_ms; "sent");
+        }
+    }
+}
--- a/crates/node/src/revision.rs
+++ b/crates/node/src/revision.rs
@@ -1,113 +1,115 @@
-//! The configuration in force: accepted by compare-and-swap of its head, spread by watches and
-//! heartbeats, never going to a lower revision.
+//! The configuration in force. A change is accepted by compare-and-swap of the head and propagates by
+//! watches and heartbeats; the revision in force never decreases.
 
 use super::*;
 use std::collections::hash_map::Entry;
 
-/// Key of the head.
-const HEAD: &str = "wellplank/head";
+/// Key of the head in the key-value service.
+const HEAD_KEY: &str = "wellplank/head";
 
-/// Changes that a head remembers.
-const CHANGES: usize = 16;
+/// Maximum number of changes listed in a head.
+const CHANGES_MAX: usize = 16;
 
-/// Instances per data centre that keep a watch.
-const WATCHERS: usize = 2;
+/// Number of instances per data centre that watch the head.
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Time between two tries to watch.
-const RETRY: Duration = Duration::from_millis(500);
+/// Time between two attempts to watch the head, to read the first one, or to apply a change.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which the head is read though nothing was heard.
-const POLL: Duration = Duration::from_secs(10);
+/// Interval at which the head is read even if no change was reported.
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Tries to settle a change whose answer was lost.
-const TRIES: usize = 20;
+/// Attempts to apply a change; they resolve the outcome of one whose answer was lost.
+const APPLY_ATTEMPTS: usize = 20;
 
-/// The configuration that an instance holds.
+/// The configuration in force at an instance.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Held {
-    /// What operators declared.
+pub(crate) struct ActiveConfig {
+    /// The declaration, joined from all parts.
     pub declaration: schema::Declaration,
-    /// Its head.
+    /// Its head; revision 0 before there is a configuration.
     pub head: Head,
-    /// Its encoded parts by their digests.
+    /// Its encoded parts by digest.
     pub parts: Arc<HashMap<Vec<u8>, Bytes>>,
 }
 
-/// What the task is told.
+/// A command to the configuration task.
 #[derive(Debug)]
-pub(crate) enum Order {
-    /// An operator's change.
+pub(crate) enum Command {
+    /// Apply an operator's change.
     Apply(
         schema::ApplyRequest,
         oneshot::Sender<Result<schema::ApplyReply, Error>>,
     ),
-    /// A head, by a watch or a peer.
+    /// Put a head from a watch or a peer in force, if it is newer.
     Head(Head),
-    /// Read the head.
+    /// Read the head from the key-value service.
     Read,
 }
 
-/// What the task owns.
+/// The task that applies changes and puts new revisions in force.
 pub(crate) struct Task {
+    /// Publishes the configuration in force.
+    pub active_config: watch::Sender<ActiveConfig>,
     /// The clock of the instance.
     pub clock: Clock,
     /// The core task.
     pub driver: Driver,
-    /// Where the configuration is held.
-    pub held: watch::Sender<Held>,
     /// The platform's list.
-    pub list: watch::Receiver<Vec<list::Line>>,
+    pub list: watch::Receiver<Vec<instance_list::ListedInstance>>,
     /// The key-value service.
     pub store: Store,
 }
 
 impl Task {
-    /// Serves orders until the instance ends.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<Order>) {
-        while let Some(order) = orders.recv().await {
-            match order {
-                Order::Apply(request, sender) => {
+    /// Handles commands until the instance stops.
+    pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
+        while let Some(command) = commands.recv().await {
+            match command {
+                Command::Apply(request, sender) => {
                     let reply = self.apply(request).await;
                     let _ = sender.send(reply);
                 }
-                Order::Head(head) => self.take(head).await,
-                Order::Read => {
-                    if let Ok(Some(entry)) = self.store.get(HEAD).await
+                Command::Head(head) => self.adopt_or_warn(head).await,
+                Command::Read => {
+                    if let Ok(Some(entry)) = self.store.get(HEAD_KEY).await
                         && let Ok(head) = decode(&entry.value)
                     {
-                        self.take(head).await;
+                        self.adopt_or_warn(head).await;
                     }
                 }
             }
         }
     }
 
-    async fn take(&mut self, head: Head) {
+    async fn adopt_or_warn(&mut self, head: Head) {
         if let Err(error) = self.adopt(head).await {
-            warn!("configuration: {error}");
+            warn!("putting a configuration in force: {error}");
         }
     }
 
-    /// Takes a head into force if it is newer than the one held.
+    /// Puts a head in force if it is newer than the current one.
     async fn adopt(&mut self, head: Head) -> Result<(), Error> {
-        let current = self.held.borrow().head.revision;
+        let current = self.active_config.borrow().head.revision;
         if head.revision <= current {
             return Ok(());
         }
-        let parts = self.gather(&head).await?;
+        let parts = self.collect_parts(&head).await?;
         let declarations: Vec<schema::Declaration> = head
             .parts
             .iter()
             .filter_map(|part| schema::Declaration::decode(parts.get(&part.digest)?.clone()).ok())
             .collect();
         if declarations.len() != head.parts.len() {
-            return Err(Error::Store("a part is no declaration".into()));
+            return Err(Error::Store(
+                "a part of the configuration is malformed".into(),
+            ));
         }
         let declaration = declaration::join(declarations.iter());
         let config = declaration::compile(&declaration, head.revision);
-        self.driver.event(Event::Config(Arc::new(config)));
+        self.driver.send_event(Event::Config(Arc::new(config)));
         let revision = head.revision;
-        self.held.send_replace(Held {
+        self.active_config.send_replace(ActiveConfig {
             declaration,
             head,
             parts: Arc::new(parts),
@@ -116,14 +118,14 @@
         Ok(())
     }
 
-    /// The parts of a head: those held, then those that peers have, then the rest from the
+    /// Collects the parts of a head: those held here, then those of peers, and only the rest from the
     /// key-value service, which may be down.
-    async fn gather(&self, head: &Head) -> Result<HashMap<Vec<u8>, Bytes>, Error> {
-        let held = self.held.borrow().parts.clone();
+    async fn collect_parts(&self, head: &Head) -> Result<HashMap<Vec<u8>, Bytes>, Error> {
+        let local = self.active_config.borrow().parts.clone();
         let mut parts = HashMap::new();
         let mut missing = Vec::new();
         for part in &head.parts {
-            match held.get(&part.digest) {
+            match local.get(&part.digest) {
                 Some(bytes) => {
                     parts.insert(part.digest.clone(), bytes.clone());
                 }
@@ -138,19 +140,19 @@
         }
         for digest in missing {
             if let Entry::Vacant(entry) = parts.entry(digest) {
-                let bytes = self.fetch(entry.key()).await?;
+                let bytes = self.read_part(entry.key()).await?;
                 entry.insert(bytes);
             }
         }
         Ok(parts)
     }
 
-    /// Accepts a change: writes its parts, then swaps the head.
+    /// Applies a change: writes its parts, then swaps the head.
     async fn apply(&mut self, request: schema::ApplyRequest) -> Result<schema::ApplyReply, Error> {
         let declaration = request.declaration.unwrap_or_default();
         let faults = declaration::check(&declaration);
         if !faults.is_empty() || request.dry_run {
-            let revision = self.held.borrow().head.revision;
+            let revision = self.active_config.borrow().head.revision;
             return Ok(schema::ApplyReply {
                 faults,
                 revision,
@@ -162,16 +164,16 @@
             note: request.note,
             ..Default::default()
         };
-        for _ in 0..TRIES {
-            let tried = self
-                .accept(&declaration, request.expect_revision, &change)
+        for _ in 0..APPLY_ATTEMPTS {
+            let attempt = self
+                .try_apply(&declaration, request.expect_revision, &change)
                 .await;
-            match tried {
+            match attempt {
                 Ok(Some(reply)) => return Ok(reply),
                 Ok(None) => {}
                 Err(error) => {
-                    warn!("apply: {error}");
-                    sleep(RETRY).await;
+                    warn!("applying a change: {error}");
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
@@ -180,35 +182,36 @@
         ))
     }
 
-    /// One try to accept a change; `None` if another one came in between and any may win.
-    async fn accept(
+    /// One attempt to apply a change; `None` if another one came first and it is to be repeated.
+    async fn try_apply(
         &mut self,
         declaration: &schema::Declaration,
         expected: Option<u64>,
         change: &peers::Change,
     ) -> Result<Option<schema::ApplyReply>, Error> {
         let parts = self.write_parts(declaration).await?;
-        self.swap(&parts, expected, change).await
+        self.swap_head(&parts, expected, change).await
     }
 
-    async fn fetch(&self, digest: &[u8]) -> Result<Bytes, Error> {
+    async fn read_part(&self, digest: &[u8]) -> Result<Bytes, Error> {
         let key = part_key(digest);
         let entry = self.store.get(&key).await?;
         let entry = entry.ok_or_else(|| Error::Store(format!("{key} is missing")))?;
         if blake3::hash(&entry.value).as_bytes() != digest {
-            return Err(Error::Store(format!("{key} has another digest")));
+            return Err(Error::Store(format!("{key} does not match its digest")));
         }
         Ok(entry.value.into())
     }
 
-    /// One try to swap the head; `None` if another change came in between and any may win.
-    async fn swap(
+    /// One attempt to swap the head; `None` if another change came first. Replies with a conflict if
+    /// the head does not have the expected revision.
+    async fn swap_head(
         &mut self,
         parts: &[peers::Part],
         expected: Option<u64>,
         change: &peers::Change,
     ) -> Result<Option<schema::ApplyReply>, Error> {
-        let entry = self.store.get(HEAD).await?;
+        let entry = self.store.get(HEAD_KEY).await?;
         let head = match &entry {
             None => Head::default(),
             Some(entry) => decode(&entry.value)?,
@@ -236,15 +239,15 @@
             time_ms: self.clock.now().0,
             ..change.clone()
         });
-        let surplus = next.changes.len().saturating_sub(CHANGES);
+        let surplus = next.changes.len().saturating_sub(CHANGES_MAX);
         next.changes.drain(..surplus);
         let write = store::Write {
             expected: entry.map_or(0, |entry| entry.revision),
-            key: HEAD,
+            key: HEAD_KEY,
             lease: 0,
             value: &next.encode_to_vec(),
         };
-        if let store::Swap::Lost(_) = self.store.swap(write).await? {
+        if let store::SwapOutcome::Conflict(_) = self.store.swap(write).await? {
             return Ok(None);
         }
         let revision = next.revision;
@@ -260,7 +263,7 @@
         for part in declaration::split(declaration) {
             let value = part.encode_to_vec();
             let digest = blake3::hash(&value).as_bytes().to_vec();
-            if !self.held.borrow().parts.contains_key(&digest) {
+            if !self.active_config.borrow().parts.contains_key(&digest) {
                 let write = store::Write {
                     expected: 0,
                     key: &part_key(&digest),
@@ -275,35 +278,34 @@
     }
 }
 
-/// Keeps a watch on the head if this instance is one of the few that do, and has the head read now
-/// and then in any case.
-pub(crate) async fn watch(
+/// Watches the head if this instance is one of the few that do; reads it periodically in any case.
+pub(crate) async fn watch_head(
     settings: Settings,
     store: Store,
-    mut list: watch::Receiver<Vec<list::Line>>,
-    orders: mpsc::UnboundedSender<Order>,
-    held: watch::Receiver<Held>,
+    mut list: watch::Receiver<Vec<instance_list::ListedInstance>>,
+    commands: mpsc::UnboundedSender<Command>,
+    active_config: watch::Receiver<ActiveConfig>,
 ) {
     loop {
-        if watches(&settings, &list.borrow()) {
-            // A change before the watch began is found by the read when it has begun.
-            let seen = store.watch(HEAD, |seen| match seen {
-                store::Seen::Changed(entry) => hand_on(&orders, &entry),
-                store::Seen::Created => {
-                    let _ = orders.send(Order::Read);
+        if is_watcher(&settings, &list.borrow()) {
+            // The read after the watch was created finds changes made before it.
+            let watch = store.watch(HEAD_KEY, |event| match event {
+                store::WatchEvent::Changed(entry) => forward_head(&commands, &entry),
+                store::WatchEvent::Created => {
+                    let _ = commands.send(Command::Read);
                 }
             });
             tokio::select! {
-                _ = timeout(POLL, seen) => {}
-                _ = list.wait_for(|list| !watches(&settings, list)) => {}
+                _ = timeout(POLL_INTERVAL, watch) => {}
+                _ = list.wait_for(|list| !is_watcher(&settings, list)) => {}
             }
-            sleep(RETRY).await;
+            sleep(RETRY_INTERVAL).await;
         } else {
-            let _ = orders.send(Order::Read);
-            let known = held.borrow().head.revision > 0;
+            let _ = commands.send(Command::Read);
+            let has_config = active_config.borrow().head.revision > 0;
             tokio::select! {
-                () = sleep(if known { POLL } else { RETRY }) => {}
-                _ = list.wait_for(|list| watches(&settings, list)) => {}
+                () = sleep(if has_config { POLL_INTERVAL } else { RETRY_INTERVAL }) => {}
+                _ = list.wait_for(|list| is_watcher(&settings, list)) => {}
             }
         }
     }
@@ -313,12 +315,12 @@
     Head::decode(value).map_err(|error| Error::Store(error.to_string()))
 }
 
-fn hand_on(orders: &mpsc::UnboundedSender<Order>, entry: &store::Entry) {
+fn forward_head(commands: &mpsc::UnboundedSender<Command>, entry: &store::Entry) {
     match decode(&entry.value) {
         Ok(head) => {
-            let _ = orders.send(Order::Head(head));
+            let _ = commands.send(Command::Head(head));
         }
-        Err(error) => warn!("head: {error}"),
+        Err(error) => warn!("malformed head of the configuration: {error}"),
     }
 }
 
@@ -329,8 +331,8 @@
     format!("wellplank/part/{digest}")
 }
 
-/// Whether this instance is one of those that watch for its data centre; not before it is listed.
-fn watches(settings: &Settings, list: &[list::Line]) -> bool {
+/// Whether this instance watches the head for its data centre; never before it is listed.
+fn is_watcher(settings: &Settings, list: &[instance_list::ListedInstance]) -> bool {
     let mut names: Vec<&str> = list
         .iter()
         .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
@@ -341,5 +343,5 @@
     names
         .iter()
         .position(|name| *name == settings.instance)
-        .is_some_and(|rank| rank < WATCHERS)
+        .is_some_and(|rank| rank < WATCHERS_PER_DATA_CENTRE)
 }
--- /dev/null
+++ b/crates/node/src/store_sync.rs
@@ -0,0 +1,378 @@
+//! The task that follows the configuration and the list of upstreams in the platform's store: it executes the calls
+//! that the core's informer requests and applies the informer's outputs.
+
+use super::*;
+use members::{LocalMember, Members};
+use platform::store::{Change, Item};
+use platform_store::{AvailabilityLog, Client};
+use tokio::task::AbortHandle;
+use wellplank_core::{
+    informer::Informer,
+    informer_io::{
+        Answer, Call, CancelReason, Content, Input, KnownState, Output, PeerReport, Topic,
+    },
+    roster::{self, Entry},
+    staleness::StalenessBound,
+};
+
+/// Maximum time between two ticks of the informer, also while it needs none.
+const WAKE_INTERVAL_MAX: Duration = Duration::from_mins(1);
+
+/// Maximum number of characters of an error that a log line contains: the error may quote a malformed entry.
+const LOGGED_ERROR_MAX: usize = 200;
+
+/// Parameters of the task.
+pub(crate) struct StoreSync {
+    /// Time within which a change in the store must be known here.
+    pub bound: StalenessBound,
+    /// Client of the store.
+    pub client: Client,
+    /// Clock of the instance.
+    pub clock: Clock,
+    /// The core task.
+    pub driver: Driver,
+    /// Sends announcements to the other instances.
+    pub gossip: mpsc::UnboundedSender<gossip::Message>,
+    /// Publishes what this instance knows of the store.
+    pub known_state: watch::Sender<KnownState>,
+    /// Time within which a leaving upstream must stop getting work, in milliseconds.
+    pub leave_ms: u64,
+    /// Publishes the limits on callers' requests in the configuration in force.
+    pub limits: watch::Sender<platform::configuration::Limits>,
+    /// Other instances.
+    pub members: watch::Receiver<Members>,
+    /// This instance.
+    pub own: LocalMember,
+}
+
+/// Result of a call that the store answered.
+enum CallResult {
+    /// All changes since the requested position, up to a position.
+    Changes(Vec<Change>, Position),
+    /// The store has compacted the changes since the requested position.
+    Compacted,
+    /// All items, up to a position.
+    Items(Vec<Item>, Position),
+}
+
+/// A call that has succeeded or failed.
+struct FinishedCall {
+    call: Call,
+    result: Result<CallResult, Error>,
+}
+
+/// State of the task.
+struct Task {
+    /// Pending calls by their identifiers.
+    calls: HashMap<u64, AbortHandle>,
+    finished_calls: mpsc::UnboundedSender<FinishedCall>,
+    informer: Informer,
+    /// Limits on callers' requests in the last configuration that was read, and its revision in the store.
+    limits: (platform::configuration::Limits, u64),
+    /// Logs of the configuration and the upstreams, in this order.
+    logs: [AvailabilityLog; 2],
+    params: StoreSync,
+}
+
+impl StoreSync {
+    /// The role and the rank of this instance among the others.
+    fn role(&self, members: &Members) -> Input {
+        Input::Role(self.own.role(members), self.own.watcher_rank(members))
+    }
+
+    /// Runs until the instance ends; `peer_reports` are the reports of other instances.
+    pub async fn run(self, mut peer_reports: mpsc::UnboundedReceiver<PeerReport>) {
+        let (finished_calls, mut results) = mpsc::unbounded_channel();
+        let mut availability = self.client.availability();
+        let mut members = self.members.clone();
+        let now = self.clock.now();
+        let informer = Informer::new(self.bound, self.leave_ms, *availability.borrow(), now);
+        let mut task = Task {
+            calls: HashMap::new(),
+            finished_calls,
+            informer,
+            limits: Default::default(),
+            logs: [Topic::Configuration, Topic::Upstreams]
+                .map(|topic| AvailabilityLog::new(topic_name(topic), self.clock)),
+            params: self,
+        };
+        let input = task.params.role(&members.borrow_and_update());
+        task.handle(input, *availability.borrow());
+        loop {
+            let time_to_wake = task.time_to_wake();
+            let input = tokio::select! {
+                Some(finished) = results.recv() => task.finish(finished),
+                Some(report) = peer_reports.recv() => task.receive(report),
+                Ok(()) = members.changed() => task.params.role(&members.borrow_and_update()),
+                Ok(()) = availability.changed() => Input::Tick,
+                () = sleep(time_to_wake) => Input::Tick,
+            };
+            let availability = *availability.borrow_and_update();
+            task.handle(input, availability);
+        }
+    }
+}
+
+impl Task {
+    /// Time until the informer needs the next tick.
+    fn time_to_wake(&self) -> Duration {
+        let now = self.params.clock.now();
+        let left = self.informer.next_wake().map(|wake| wake.since(now));
+        left.map_or(WAKE_INTERVAL_MAX, Duration::from_millis)
+            .min(WAKE_INTERVAL_MAX)
+    }
+
+    /// Input for the informer from another instance's report.
+    fn receive(&self, report: PeerReport) -> Input {
+        if report.confirmed.is_some() {
+            self.params.client.record_peer_success();
+        }
+        Input::PeerReport(report)
+    }
+
+    /// Passes an input to the informer and applies its outputs.
+    fn handle(&mut self, input: Input, availability: Availability) {
+        let now = self.params.clock.now();
+        let outputs = self.informer.handle(input, availability, now);
+        // Published before the outputs are applied, since announcements to others contain the known state.
+        let known = self.informer.known_state();
+        self.params.known_state.send_if_modified(|before| {
+            let is_changed = *before != known;
+            *before = known;
+            is_changed
+        });
+        for output in outputs {
+            self.perform(output, now);
+        }
+    }
+
+    fn perform(&mut self, output: Output, now: Time) {
+        match output {
+            Output::Call(call) => self.start_call(call),
+            Output::Configuration(config) => {
+                let (revision, routes) = (config.revision, config.routes.len());
+                let (limits, store_revision) = self.limits;
+                info!(revision, routes, store_revision; "configuration in force");
+                self.params.driver.send_event(Event::Config(config));
+                self.params.limits.send_replace(limits);
+            }
+            // A send fails only if the gossip task has ended, which it does only with the instance.
+            Output::Confirm(confirmed) => {
+                drop(
+                    self.params
+                        .gossip
+                        .send(gossip::Message::Confirmed(confirmed)),
+                );
+            }
+            Output::Cancel(call, reason) => self.cancel(call, reason),
+            Output::Era(era) => {
+                info!(era; "reading everything again: the store was restored from a backup");
+            }
+            Output::Outdated(topic) => {
+                self.params.driver.count(Counter::StoreOutdated);
+                debug!(
+                    "dropped an answer about {} from an earlier era of the store",
+                    topic_name(topic)
+                );
+            }
+            Output::MissingEntry(upstream, believed_ms) => {
+                info!(believed_ms, upstream; "a missing entry may have expired; its upstream is kept for a grace period");
+            }
+            // A send fails only if the gossip task has ended, which it does only with the instance.
+            Output::AnnounceRoster(update) => {
+                drop(
+                    self.params
+                        .gossip
+                        .send(gossip::Message::RosterUpdate(update)),
+                );
+            }
+            Output::AnnounceConfiguration => {
+                drop(self.params.gossip.send(gossip::Message::Configuration));
+            }
+            Output::Upstreams(listed) => {
+                let listed = Some(listed);
+                self.params.driver.send_event(Event::List {
+                    requested_at: now,
+                    entries: listed,
+                });
+            }
+        }
+    }
+
+    fn start_call(&mut self, call: Call) {
+        if call.is_retry {
+            let Call {
+                timeout_ms: patience_ms,
+                ..
+            } = call;
+            let since = call.since.map(|since| since.to_string());
+            info!(patience_ms, since; "asking the store again for {}", topic_name(call.topic));
+        }
+        let client = self.params.client.clone();
+        let finished_calls = self.finished_calls.clone();
+        let task = tokio::spawn(async move {
+            let result = execute(&client, call).await;
+            // A send fails only if the receiving task has ended, which it does only with the instance.
+            let _ = finished_calls.send(FinishedCall { call, result });
+        });
+        self.calls.insert(call.id, task.abort_handle());
+    }
+
+    /// Cancels a pending call.
+    fn cancel(&mut self, call: Call, reason: CancelReason) {
+        if let Some(task) = self.calls.remove(&call.id) {
+            task.abort();
+        }
+        let error = match reason {
+            CancelReason::PeersAhead => Some("call cancelled: other instances know more"),
+            CancelReason::Stalled => Some("call cancelled: the store answers other calls again"),
+            CancelReason::Unconfirmed => None,
+            CancelReason::EntryExpired
+            | CancelReason::StoreRestored
+            | CancelReason::RoleChanged => return,
+        };
+        self.params.client.reconnect();
+        if let Some(error) = error {
+            self.log(call.topic)
+                .record_failure(&Error::Store(error.into()));
+        } else {
+            let since = call.since.map(|since| since.to_string());
+            info!(since; "no confirmation of {} for too long: asking on a new connection", topic_name(call.topic));
+        }
+    }
+
+    fn log(&mut self, topic: Topic) -> &mut AvailabilityLog {
+        match topic {
+            Topic::Configuration => &mut self.logs[0],
+            Topic::Upstreams => &mut self.logs[1],
+        }
+    }
+
+    /// Input for the informer from the result of a call.
+    fn finish(&mut self, finished: FinishedCall) -> Input {
+        let FinishedCall { call, result } = finished;
+        if self.calls.remove(&call.id).is_none() {
+            // It finished while it was being cancelled.
+            return Input::Tick;
+        }
+        let result = match result {
+            Ok(result) => result,
+            Err(error) => {
+                self.log(call.topic).record_failure(&error);
+                return Input::Failed(call.id);
+            }
+        };
+        self.log(call.topic).record_success();
+        let (changes, position) = match result {
+            CallResult::Items(items, position) => {
+                (items.into_iter().map(Change::Written).collect(), position)
+            }
+            CallResult::Changes(changes, position) => (changes, position),
+            CallResult::Compacted => {
+                let since = call.since.map(|since| since.to_string());
+                info!(since; "the store has compacted the changes of {}", topic_name(call.topic));
+                return Input::Answered(call.id, Answer::Compacted);
+            }
+        };
+        let content = match call.topic {
+            Topic::Configuration => self.decode_configuration(changes),
+            Topic::Upstreams => {
+                let changes = changes
+                    .iter()
+                    .map(|change| self.decode_change(change, position.era));
+                Content::Upstreams(changes.collect())
+            }
+        };
+        Input::Answered(call.id, Answer::Complete(content, position))
+    }
+
+    /// Decodes a change of the list that was read in an era of the store.
+    fn decode_change(&self, change: &Change, era: u64) -> roster::Change {
+        let (entry, key, revision) = match change {
+            Change::Removed { key, revision } => (Entry::Deleted, key, *revision),
+            Change::Written(item) => (self.decode_entry(item, era), &item.key, item.revision),
+        };
+        roster::Change {
+            entry,
+            name: platform::upstream::name(key).into(),
+            position: Position::new(era, revision),
+        }
+    }
+
+    /// Decodes an entry that was read in an era of the store.
+    fn decode_entry(&self, item: &Item, era: u64) -> Entry {
+        match platform::upstream::decode(item, era) {
+            Ok(listed) => Entry::Listed(listed),
+            Err(error) => {
+                let reason = error.reason();
+                warn!(reason; "ignored a malformed upstream entry: {}", truncated(&error));
+                self.params.driver.count(Counter::EntryInvalid(reason));
+                Entry::Invalid
+            }
+        }
+    }
+
+    /// Decodes the newest configuration among changes.
+    fn decode_configuration(&mut self, changes: Vec<Change>) -> Content {
+        let newest = changes.into_iter().rev().find_map(|change| match change {
+            Change::Written(item) if item.key == platform::configuration::KEY => Some(item),
+            Change::Removed { .. } | Change::Written(_) => None,
+        });
+        let Some(item) = newest else {
+            return Content::Configuration {
+                bytes: 0,
+                config: None,
+            };
+        };
+        let bytes = item.value.as_ref().map_or(0, Vec::len);
+        let decoded = item.bytes().and_then(platform::configuration::decode);
+        let config = match decoded {
+            Ok(decoded) => {
+                self.limits = (decoded.limits, item.revision);
+                Some(Arc::new(decoded.config))
+            }
+            Err(error) => {
+                error!("invalid configuration; the one in force stays: {error}");
+                None
+            }
+        };
+        Content::Configuration { bytes, config }
+    }
+}
+
+/// Executes a call.
+async fn execute(client: &Client, call: Call) -> Result<CallResult, Error> {
+    let prefix = match call.topic {
+        Topic::Configuration => platform::configuration::KEY,
+        Topic::Upstreams => platform::upstream::PREFIX,
+    };
+    let response_timeout = Duration::from_millis(call.timeout_ms);
+    let Some(since) = call.since else {
+        let (items, position) = client
+            .read_prefix(prefix, response_timeout, call.consistency)
+            .await?;
+        return Ok(CallResult::Items(items, position));
+    };
+    let wait = Duration::from_millis(call.wait_ms);
+    let response = client
+        .watch_prefix(prefix, since.revision, wait, response_timeout)
+        .await?;
+    Ok(
+        response.map_or(CallResult::Compacted, |(response, position)| {
+            CallResult::Changes(response.changes, position)
+        }),
+    )
+}
+
+/// The first characters of an error, which may quote an entry of any length.
+fn truncated(error: &platform::Error) -> String {
+    error.to_string().chars().take(LOGGED_ERROR_MAX).collect()
+}
+
+/// Name of a topic in log lines.
+fn topic_name(topic: Topic) -> &'static str {
+    match topic {
+        Topic::Configuration => "configuration",
+        Topic::Upstreams => "upstreams",
+    }
+}
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every fault in one pass, and the command line that names them.
+//! Settings: all faults are found in one pass, and `wellplank check` prints them.
 
 use {
     googletest::prelude::*,
@@ -7,7 +7,7 @@
     wellplank_node::Settings,
 };
 
-/// A settings file with changes.
+/// The default settings, with changes.
 struct Test {
     settings: Value,
 }
@@ -52,12 +52,12 @@
 }
 
 #[gtest]
-fn defaults_are_without_fault() {
+fn defaults_have_no_faults() {
     expect_that!(Test::new().faults(), is_empty());
 }
 
 #[gtest]
-fn defaults_hold_every_setting() {
+fn parsed_defaults_equal_core_defaults() {
     let read = Settings::parse(&Settings::defaults().to_string()).unwrap();
     expect_that!(
         read.core,
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn every_fault_is_named_in_one_pass() {
+fn all_faults_are_reported_in_one_pass() {
     let faults = Test::new()
         .set("/listen/callers", json!("nowhere"))
         .set("/core/queue_max", json!(0))
@@ -77,17 +77,17 @@
     expect_that!(
         faults,
         unordered_elements_are![
-            starts_with("listen.callers: must be an address"),
-            eq("core.queue_max: 0 must be a whole number from 1 to 1000000"),
+            starts_with("listen.callers: must be an IP address and port"),
+            eq("core.queue_max: 0 must be an integer from 1 to 1000000"),
             eq("core.retry_earn: 2.0 must be a number from 0 to 1"),
             eq("secret: must be 64 hexadecimal digits"),
-            eq("unknown: no such setting"),
+            eq("unknown: unknown setting"),
         ]
     );
 }
 
 #[gtest]
-fn unknown_ways_are_told_with_those_that_there_are() {
+fn unknown_option_is_reported_with_the_valid_ones() {
     let faults = Test::new()
         .set("/core/relay_resume", json!("twice"))
         .set("/core/routing", json!(3))
@@ -96,13 +96,13 @@
         faults,
         unordered_elements_are![
             eq("core.relay_resume: `twice` must be one of copy, anew, none"),
-            eq("core.routing: 3 must be a text that is not empty"),
+            eq("core.routing: 3 must be a non-empty string"),
         ]
     );
 }
 
 #[gtest]
-fn missing_names_are_faults() {
+fn missing_required_settings_are_faults() {
     let faults = Settings::parse("{}").unwrap_err();
     let places: Vec<&str> = faults.iter().map(|fault| fault.place.as_str()).collect();
     expect_that!(places, contains(eq(&"instance")));
@@ -110,7 +110,7 @@
 }
 
 #[gtest]
-fn text_that_is_no_json_is_one_fault() {
+fn invalid_json_is_one_fault() {
     expect_that!(Settings::parse("{").unwrap_err().len(), eq(1));
     expect_that!(Settings::parse("[]").unwrap_err().is_empty(), eq(false));
 }
@@ -125,17 +125,17 @@
 }
 
 #[gtest]
-fn check_exits_with_2_and_names_the_faults() {
+fn check_exits_with_2_and_prints_the_faults() {
     let (code, _, error) = Test::new().set("/body_max", json!("big")).check();
     expect_that!(code, some(eq(2)));
     expect_that!(
         error,
-        contains_substring("body_max: \"big\" must be a whole number")
+        contains_substring("body_max: \"big\" must be an integer")
     );
 }
 
 #[gtest]
-fn check_of_right_settings_says_ok() {
+fn check_of_valid_settings_prints_ok() {
     let (code, output, _) = Test::new().check();
     expect_that!(code, some(eq(0)));
     expect_that!(output, eq("ok\n"));
--- a/crates/standin/src/relaying.rs
+++ b/crates/standin/src/relaying.rs
@@ -471,39 +471,40 @@
                 let close = Action::Close(line(attempt), index(address));
                 self.timeline.schedule(1, close);
             }
-            Effect::Quarantine(effect::Quarantine::CheckCrash { address, life }) => {
+            Effect::Quarantine(effect::Quarantine::CheckCrash {
+                address,
+                incarnation,
+            }) => {
                 let upstream = &self.upstreams[index(address)];
                 let name = format!("{}-{}", index(address), upstream.life);
-                let runs = upstream.mode != Mode::Down && Incarnation::new(&name, 0) == life;
+                let runs = upstream.mode != Mode::Down && Incarnation::new(&name, 0) == incarnation;
                 let ended = !runs;
-                self.event_soon(instance, Event::CrashChecked { ended, life });
+                self.event_soon(instance, Event::CrashChecked { ended, incarnation });
             }
             Effect::Quarantine(effect::Quarantine::Publish(account)) => {
                 self.instances[instance].account = (account.digest(), account);
             }
-            Effect::Quarantine(effect::Quarantine::Refuse { ends, own, .. }) => {
+            Effect::Quarantine(effect::Quarantine::Refuse { evidence, own, .. }) => {
                 if own && self.poison.store {
-                    let _ = self.poison.kept.merge(&ends);
+                    let _ = self.poison.kept.merge(&evidence);
                 }
             }
             Effect::Quarantine(effect::Quarantine::Gossip(news)) => {
                 self.gossip(instance, &Event::CrashReported(news.into()));
             }
-            Effect::GossipDemand { demand, .. } => self.gossip(
-                instance,
-                &Event::PeerDemand {
-                    demand,
-                    from: address(instance),
-                },
-            ),
-            Effect::GossipLeaving { life, .. } => self.gossip(instance, &Event::PeerLeaving(life)),
-            Effect::GossipLimit { life, rate } => {
-                self.gossip(instance, &Event::PeerLimit { life, rate });
+            Effect::GossipDemand { demand, .. } => {
+                let from = address(instance);
+                self.gossip(instance, &Event::PeerDemand { demand, from });
+            }
+            Effect::GossipLeaving { incarnation, .. } => {
+                self.gossip(instance, &Event::PeerLeaving(incarnation));
+            }
+            Effect::GossipLimit { incarnation, rate } => {
+                self.gossip(instance, &Event::PeerLimit { incarnation, rate });
             }
-            Effect::GossipPace(pace) => self.gossip(instance, &Event::PeerPace(pace)),
+            Effect::GossipSpeed(pace) => self.gossip(instance, &Event::PeerSpeed(pace)),
             Effect::EndStream(caller) => {
-                let asker = self.connections.get(&caller).copied();
-                if let Some(asker) = asker
+                if let Some(asker) = self.connections.get(&caller).copied()
                     && self.askers[asker].position != EVENTS
                 {
                     let position = self.askers[asker].position;
