--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -161,6 +161,11 @@
         let store = host::free_address();
         let host = Host::new(1);
         host.spawn(shelf.clone().serve(store));
+        // Instances must not start before the store listens: they would record an outage of it, and keep entries that go
+        // missing for a grace period of 2 s.
+        while tokio::net::TcpStream::connect(store).await.is_err() {
+            sleep(Duration::from_millis(1)).await;
+        }
         shelf.put("op/config", &configuration(1));
         shelf.away(plan.away);
         let mut site = Self {
