--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -14,7 +14,7 @@
 /// Length of the interval whose slices share one lease, in milliseconds.
 pub const LEASE_MS: u64 = 60_000;
 
-/// Base of the lease identifiers.
+/// Base of the lease identifiers: `well` in ASCII in the upper half.
 const LEASE_BASE: u64 = 0x7765_6c6c_0000_0000;
 
 /// Size of an encoded claim, in bytes.
@@ -45,6 +45,7 @@
 /// The claims of one bucket, as stored in the key-value store.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
+    /// Fingerprint and nonce of each claim, by its key.
     claims: HashMap<u128, (u64, u64)>,
 }
 
@@ -112,7 +113,7 @@
         now: Time,
         settings: &Settings,
     ) -> Option<Self> {
-        let stamp = stamp(key)?;
+        let stamp = uuid_v7_timestamp(key)?;
         let hash = blake3::keyed_hash(
             blake3::hash(customer.as_bytes()).as_bytes(),
             &key.to_le_bytes(),
@@ -136,7 +137,7 @@
             fingerprint: upstream,
             key: u128::from_le_bytes(*hasher.finalize().as_bytes().first_chunk()?),
             nonce,
-            stamp: stamp(generation)?,
+            stamp: uuid_v7_timestamp(generation)?,
         })
     }
 
@@ -169,7 +170,7 @@
 }
 
 /// Timestamp of a `UUIDv7`; `None` for other versions.
-fn stamp(key: u128) -> Option<Time> {
+fn uuid_v7_timestamp(key: u128) -> Option<Time> {
     let key = uuid::Uuid::from_u128(key);
     let (seconds, nanos) = key.get_timestamp()?.to_unix();
     let version = key.get_version_num();
--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -6,8 +6,8 @@
 /// Weight of a new sample in an exponential moving average.
 const GAIN: f64 = 0.1;
 
-/// Window in milliseconds over which the rate of stream starts is measured: some tens of streams
-/// during a shortage.
+/// Window in milliseconds over which the rate of stream starts is measured: long enough for some
+/// tens of starts during a shortage.
 const START_RATE_WINDOW_MS: u64 = 2_000;
 
 /// Maximum number of starts kept.
@@ -19,14 +19,14 @@
 /// Time in milliseconds without a stream that finds no capacity after which a shortage is over.
 const SHORTAGE_OVER_MS: u64 = 1_000;
 
-/// Speed of a pool's engines, as observed on one stream.
+/// Speed of a pool's engines: the sample that an instance sends to the others during a shortage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpeed {
     /// Mean interval between two events of a stream, in milliseconds.
     pub event_interval_ms: f64,
     /// Name of the pool.
     pub pool: Arc<str>,
-    /// Milliseconds to the first event per token of the requests in prefill.
+    /// Milliseconds to the first event of one stream, per token of the requests in prefill.
     pub prefill_ms_per_token: f64,
 }
 
@@ -73,9 +73,10 @@
 impl PoolEstimates {
     /// Records the number of events of a complete response, and the maximum number of tokens that
     /// it could have had.
-    pub fn record_answer(&mut self, events: u64, tokens: u32) {
-        if tokens > 0 {
-            self.events_per_token.add(events as f64 / f64::from(tokens));
+    pub fn record_answer(&mut self, events: u64, max_tokens: u32) {
+        if max_tokens > 0 {
+            self.events_per_token
+                .add(events as f64 / f64::from(max_tokens));
         }
     }
 
@@ -133,10 +134,10 @@
         })
     }
 
-    /// Expected time in milliseconds for the rest of a response of at most `tokens` from `position`
-    /// on.
-    pub fn remaining_ms(&self, tokens: u32, position: u64) -> u64 {
-        let events = self.events_per_token.get() * f64::from(tokens) - position as f64;
+    /// Expected time in milliseconds for the rest of a response of at most `max_tokens` from
+    /// `position` on.
+    pub fn remaining_ms(&self, max_tokens: u32, position: u64) -> u64 {
+        let events = self.events_per_token.get() * f64::from(max_tokens) - position as f64;
         (events.max(0.0) * self.event_interval_ms.get()) as u64
     }
 
@@ -162,8 +163,8 @@
 
     /// Records the start of a stream at any instance.
     pub fn record_stream_start(&mut self, now: Time) {
-        let old = |start: &mut Time| now.since(*start) > START_RATE_WINDOW_MS;
-        while self.starts.pop_front_if(old).is_some() {}
+        let is_old = |start: &mut Time| now.since(*start) > START_RATE_WINDOW_MS;
+        while self.starts.pop_front_if(is_old).is_some() {}
         if self.starts.len() < MAX_STARTS {
             self.starts.push_back(now);
         }
--- a/crates/core/src/informer_io.rs
+++ b/crates/core/src/informer_io.rs
@@ -65,9 +65,9 @@
 /// Proof from the store, obtained by one watcher, that a topic is up to date.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Confirmed {
-    /// Position of the store up to which it holds.
+    /// Position of the store up to which the topic is up to date.
     pub to: Position,
-    /// The topic that it holds for.
+    /// The topic that is up to date.
     pub topic: Topic,
 }
 
@@ -102,7 +102,8 @@
 /// Why a call is cancelled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CancelReason {
-    /// The call is a watch, and the grace period of a missing entry has ended.
+    /// The grace period of a missing entry has ended. The entry is removed only on a new answer of the store, for which
+    /// the pending watch is cancelled.
     EntryExpired,
     /// Peers know more than the call's position.
     PeersAhead,
@@ -112,7 +113,7 @@
     Stalled,
     /// The store was restored from a backup.
     StoreRestored,
-    /// Nobody has confirmed for too long that nothing has changed.
+    /// For too long, no instance has confirmed that nothing has changed.
     Unconfirmed,
 }
 
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -182,7 +182,7 @@
     pub claim_requested_at: Time,
     /// Whether the queue counts it as running.
     pub counts_as_running: bool,
-    /// Customer.
+    /// Customer whose limits it counts towards.
     pub customer: Arc<config::Customer>,
     /// Time by which it must be answered.
     pub deadline: Time,
--- a/crates/core/src/staleness.rs
+++ b/crates/core/src/staleness.rs
@@ -2,19 +2,20 @@
 
 use super::*;
 
-/// Time after the return of the store, or the end of a refusal, within which an instance must know what it missed, in
-/// milliseconds: the shortest after which a deployment counts it as connected again.
+/// Time within which an instance must know what it missed after the store has returned or has stopped refusing its
+/// calls, in milliseconds: the shortest after which a deployment counts the instance as connected again.
 const RECOVERY_MS: u64 = 3_000;
 
 /// Part of [`RECOVERY_MS`] that is reserved for slow answers, datagrams and processes, in milliseconds.
 const MARGIN_MS: u64 = 100;
 
-/// Maximum timeout of a call of the configuration, in milliseconds: what the pause after it and the reads of
-/// a configuration that peers have leave.
+/// Maximum timeout of a call of the configuration, in milliseconds: what remains of [`RECOVERY_MS`] after the margin,
+/// the longest pause after the call, and the pauses before the reads of a configuration that peers have.
 const CALL_MAX_MS: u64 =
     RECOVERY_MS - MARGIN_MS - store_calls::BACKOFF_MAX_MS - informer::READ_PAUSES_TOTAL_MS;
 
-/// Maximum silence of peers, in milliseconds: what a call of the list that was sent just before the return leaves.
+/// Maximum silence of peers, in milliseconds: what remains of [`RECOVERY_MS`] after the margin and a call of the list
+/// that was sent just before the store returned.
 const SILENCE_MAX_MS: u64 = RECOVERY_MS - MARGIN_MS - store_calls::FAST_RETRY_TOTAL_MS;
 
 /// Intervals derived from the time within which every instance must know of a change, in milliseconds.
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -72,6 +72,7 @@
     expect_that!(quarantined(&history), elements_are![eq(&7), eq(&8)]);
 }
 
+/// Each crash of request 7 is explained by another quarantined request, so three crashes do not quarantine it.
 #[gtest]
 fn masked_request_is_quarantined_after_five_crashes() {
     let crashes: [(u64, &[u64]); 10] = [
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -80,6 +80,7 @@
         let mut test = Test::new(9);
         let sent = test.stream(0);
         let backup = sent.backup.expect("a backup");
+        // Each three consecutive upstreams share a data centre.
         expect_that!(backup / 3, not(eq(sent.upstream / 3)));
     }
 }
@@ -371,14 +372,14 @@
         let mut test = Test::new(0);
         test.list(order.to_vec());
         test.request(NON_REPEATABLE);
-        let named = test.effects.iter().find_map(|effect| match effect {
+        let receiver = test.effects.iter().find_map(|effect| match effect {
             Effect::Send {
                 outbound: Outbound::Relay { upstream, .. },
                 ..
             } => Some(upstream.to_string()),
             _ => None,
         });
-        expect_that!(named.as_deref(), some(eq("runner-9")));
+        expect_that!(receiver.as_deref(), some(eq("runner-9")));
     }
 }
 
@@ -411,6 +412,7 @@
 #[gtest]
 fn data_centre_with_lost_upstreams_is_avoided() {
     let mut test = Test::new(6);
+    // Upstreams 0 to 2 share a data centre.
     for upstream in [0, 1] {
         test.now = test.now.after(5);
         test.handle(Event::PeerLoss(incarnation(upstream, 0)));
--- a/crates/core/tests/relay/notice.rs
+++ b/crates/core/tests/relay/notice.rs
@@ -2,8 +2,10 @@
 
 use super::*;
 
-/// A backoff in milliseconds, and its maximum with jitter.
+/// A requested backoff, in milliseconds.
 const BACKOFF: u64 = 3_000;
+
+/// Longest duration of that backoff, with jitter, in milliseconds.
 const MAX_BACKOFF: u64 = BACKOFF + BACKOFF / 10;
 
 impl Test {
@@ -89,11 +91,11 @@
 
 #[gtest]
 fn upstream_that_announces_leaving_gets_nothing_more() {
-    let (mut test, left) = one_of_two_leaving();
+    let (mut test, leaving) = one_of_two_leaving();
     for path in [NON_REPEATABLE, REPEATABLE, STREAM] {
         expect_that!(
             test.upstreams_called(path),
-            elements_are![eq(&(1 - left))],
+            elements_are![eq(&(1 - leaving))],
             "{path}"
         );
     }
@@ -101,41 +103,41 @@
 
 #[gtest]
 fn announced_leaving_outlasts_the_hint_and_a_contradicting_list() {
-    let (mut test, left) = one_of_two_leaving();
+    let (mut test, leaving) = one_of_two_leaving();
     for _ in 0..8 {
         test.advance(5_000);
         test.list(listed_first(2));
         expect_that!(
             test.upstreams_called(NON_REPEATABLE),
-            elements_are![eq(&(1 - left))]
+            elements_are![eq(&(1 - leaving))]
         );
     }
 }
 
 #[gtest]
 fn announced_leaving_survives_a_missing_entry() {
-    let (mut test, left) = one_of_two_leaving();
-    test.list(vec![listed(1 - left, 1 - left)]);
+    let (mut test, leaving) = one_of_two_leaving();
+    test.list(vec![listed(1 - leaving, 1 - leaving)]);
     test.list(listed_first(2));
     expect_that!(
         test.upstreams_called(NON_REPEATABLE),
-        elements_are![eq(&(1 - left))]
+        elements_are![eq(&(1 - leaving))]
     );
 }
 
 #[gtest]
 fn announced_leaving_does_not_apply_to_the_next_incarnation() {
     let mut test = Test::new(0);
-    let born = |born| ListEntry {
+    let listed_with_birth = |born| ListEntry {
         born,
         ..listed(0, 0)
     };
-    test.list(vec![born(5)]);
+    test.list(vec![listed_with_birth(5)]);
     test.request(NON_REPEATABLE);
     let sent = test.last_sent();
     test.announce_leaving(&sent);
     test.answer(&sent, Verdict::Good);
-    test.list(vec![born(9)]);
+    test.list(vec![listed_with_birth(9)]);
     expect_that!(test.upstreams_called(NON_REPEATABLE), elements_are![eq(&0)]);
     // A late response of the former incarnation has no effect.
     test.announce_leaving(&sent);
@@ -177,16 +179,16 @@
 
 #[gtest]
 fn peers_are_notified_once_of_a_leaving_upstream() {
-    let (mut test, left) = one_of_two_leaving();
+    let (mut test, leaving) = one_of_two_leaving();
     let sent = test.sent().first().cloned().unwrap();
     test.announce_leaving(&sent);
     let is_leaving = |effect: &&Effect| matches!(effect, Effect::GossipLeaving { .. });
     expect_that!(test.effects.iter().filter(is_leaving).count(), eq(1));
     let mut other = Test::new(2);
-    other.handle(Event::PeerLeaving(incarnation(left, 0)));
+    other.handle(Event::PeerLeaving(incarnation(leaving, 0)));
     expect_that!(
         other.upstreams_called(NON_REPEATABLE),
-        elements_are![eq(&(1 - left))]
+        elements_are![eq(&(1 - leaving))]
     );
     // A report from a peer is not forwarded; otherwise each instance that receives it would notify all others.
     expect_that!(other.effects.iter().filter(is_leaving).count(), eq(0));
--- a/crates/core/tests/relay/version.rs
+++ b/crates/core/tests/relay/version.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 
-/// List entry for an upstream with the given version; registered in the order of places.
-fn of_version(place: usize, version: &str) -> ListEntry {
+/// List entry for an upstream with the given version. Upstreams with a higher index registered later.
+fn of_version(index: usize, version: &str) -> ListEntry {
     ListEntry {
-        registered_at: Position::new(0, 10 + place as u64),
+        registered_at: Position::new(0, 10 + index as u64),
         version: version.into(),
-        ..listed(place, place)
+        ..listed(index, index)
     }
 }
 
 /// List of two versions: six upstreams of the old one, then six of the new one that registered later.
 fn two_versions() -> Vec<ListEntry> {
-    let old = (0..6).map(|place| of_version(place, "v1"));
-    let new = (6..12).map(|place| of_version(place, "v2"));
+    let old = (0..6).map(|index| of_version(index, "v1"));
+    let new = (6..12).map(|index| of_version(index, "v2"));
     old.chain(new).collect()
 }
 
@@ -44,9 +44,9 @@
 fn new_version_gets_nothing_beside_the_active_one() {
     for path in [STREAM, REPEATABLE, NON_REPEATABLE] {
         let mut test = with_new_version();
-        let places = used_upstreams(&mut test, path);
-        expect_that!(places, not(is_empty()));
-        expect_that!(places, each(lt(&6)), "{path}");
+        let upstreams = used_upstreams(&mut test, path);
+        expect_that!(upstreams, not(is_empty()));
+        expect_that!(upstreams, each(lt(&6)), "{path}");
     }
 }
 
@@ -101,9 +101,9 @@
         ..listed
     });
     test.list(leaving.collect());
-    let places_then = used_upstreams(&mut test, REPEATABLE);
-    expect_that!(places_then, not(is_empty()));
-    expect_that!(places_then, each(ge(&6)));
+    let upstreams = used_upstreams(&mut test, REPEATABLE);
+    expect_that!(upstreams, not(is_empty()));
+    expect_that!(upstreams, each(ge(&6)));
 }
 
 #[gtest]
@@ -139,8 +139,8 @@
 #[gtest]
 fn upstreams_without_a_version_count_as_one_version() {
     let mut test = Test::new(12);
-    let mut places = used_upstreams(&mut test, REPEATABLE);
-    places.sort_unstable();
-    places.dedup();
-    expect_that!(places.len(), gt(6));
+    let mut upstreams = used_upstreams(&mut test, REPEATABLE);
+    upstreams.sort_unstable();
+    upstreams.dedup();
+    expect_that!(upstreams.len(), gt(6));
 }
