--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -11,17 +11,17 @@
 ) -> Result<(), Kind> {
     let headers = RequestHeaders::parse(request)?;
     let service: String = request.param("service").ok_or(Kind::UnknownService)?;
-    let rest: String = request.param("path").unwrap_or_default();
+    let path: String = request.param("path").unwrap_or_default();
     let query = request.uri().query().map(|query| format!("?{query}"));
-    let path = format!("{} /{rest}{}", request.method(), query.unwrap_or_default());
+    let method_and_path = format!("{} /{path}{}", request.method(), query.unwrap_or_default());
     let payload = submitter.read_body(request).await?;
-    let mut fingerprinted = path.clone().into_bytes();
+    let mut fingerprinted = method_and_path.clone().into_bytes();
     fingerprinted.extend_from_slice(&payload);
     let parsed = caller::ParsedRequest {
         fingerprint: caller::fingerprint(&service, &fingerprinted),
         received_tokens: None,
         work: Work::Call {
-            path: path.into(),
+            path: method_and_path.into(),
             payload: payload.to_vec().into(),
         },
     };
--- a/crates/node/src/completion_response.rs
+++ b/crates/node/src/completion_response.rs
@@ -29,8 +29,8 @@
         })
     }
 
-    /// The last event of a stream, or the whole answer with its text and tokens. `position` is the number of tokens in the
-    /// whole answer.
+    /// The last event of a stream, which has no text and no tokens, or the single document with all of them. `position` is
+    /// the number of tokens in the whole answer.
     pub fn completion(&self, text: &str, token_ids: &[u32], position: u32, reason: &str) -> Value {
         json!({
             "choices": [{
--- a/crates/node/src/platform_store.rs
+++ b/crates/node/src/platform_store.rs
@@ -6,8 +6,8 @@
     informer_io::Consistency, staleness::StalenessBound, store_calls::StoreCalls,
 };
 
-/// Maximum time between two chunks of a response: the time-out of the kernel for a silent connection. However long a
-/// list is and however slow the link, a chunk arrives sooner.
+/// Maximum time between two chunks of a response; equal to the TCP user timeout of the connection. However long a list is
+/// and however slow the link, a chunk arrives sooner.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A response of the store.
@@ -102,6 +102,7 @@
             }
             if !is_answered {
                 let now = self.clock.now();
+                // The store need not answer before the wait ends, so its silence shows a failure only from then on.
                 let is_silent = matches!(response, Err(Error::StoreTimeout(_)));
                 availability.record_failure(if is_silent { wait_end } else { now }, now);
             } else if let Some(away_ms) = availability.record_success(self.clock.now()) {
--- a/crates/node/src/revision.rs
+++ b/crates/node/src/revision.rs
@@ -1,5 +1,6 @@
-//! The configuration in force. A change is accepted by compare-and-swap of the head and propagates by
-//! watches and heartbeats; the revision in force never decreases.
+//! The configuration in force. It is stored as immutable parts under their digests and a head, which holds the revision
+//! and lists the parts. A change is accepted by compare-and-swap of the head and propagates by watches and heartbeats; the
+//! revision in force never decreases.
 
 use super::*;
 use std::collections::hash_map::Entry;
@@ -13,13 +14,14 @@
 /// Number of instances per data centre that watch the head.
 const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Time between two attempts to watch the head, to read the first one, or to apply a change.
+/// Time between two attempts to watch the head, to read it while there is no configuration, or to apply a change.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval at which the head is read even if no change was reported.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Attempts to apply a change; they resolve the outcome of one whose answer was lost.
+/// Maximum number of attempts to apply a change. An attempt also finds out whether an earlier one whose response was lost
+/// was accepted: the head then lists the change.
 const APPLY_ATTEMPTS: usize = 20;
 
 /// The configuration in force at an instance.
@@ -53,9 +55,9 @@
     pub active_config: watch::Sender<ActiveConfig>,
     /// The clock of the instance.
     pub clock: Clock,
-    /// The core task.
+    /// Handle for sending events to the core task.
     pub driver: Driver,
-    /// The platform's list.
+    /// The platform's list of instances.
     pub list: watch::Receiver<Vec<instance_list::ListedInstance>>,
     /// The key-value service.
     pub store: Store,
@@ -222,6 +224,7 @@
             ..Default::default()
         };
         if head.changes.iter().any(|other| other.id == change.id) {
+            // An earlier attempt was accepted, but its response was lost or putting it in force failed.
             let revision = head.revision;
             self.adopt(head).await?;
             return Ok(Some(reply(revision, false)));
@@ -270,6 +273,7 @@
                     lease: 0,
                     value: &value,
                 };
+                // A conflict means that the same part is already stored: its key is its digest.
                 self.store.swap(write).await?;
             }
             parts.push(peers::Part { digest });
@@ -331,13 +335,14 @@
     format!("wellplank/part/{digest}")
 }
 
-/// Whether this instance watches the head for its data centre; never before it is listed.
+/// Whether this instance watches the head for its data centre; never before it is listed. The watchers are those whose
+/// names have the lowest hashes, so instances with the same list agree on them.
 fn is_watcher(settings: &Settings, list: &[instance_list::ListedInstance]) -> bool {
     let mut names: Vec<&str> = list
         .iter()
-        .filter(|line| line.pool == wellplank_core::core::INSTANCE_POOL && !line.leaving)
-        .filter(|line| line.data_centre == settings.data_centre)
-        .map(|line| line.instance.as_str())
+        .filter(|listed| listed.pool == wellplank_core::core::INSTANCE_POOL && !listed.leaving)
+        .filter(|listed| listed.data_centre == settings.data_centre)
+        .map(|listed| listed.instance.as_str())
         .collect();
     names.sort_by_key(|name| upstream::id(name));
     names
--- a/crates/node/tests/declaration.rs
+++ b/crates/node/tests/declaration.rs
@@ -1,4 +1,4 @@
-//! Checks of declarations, the places of their faults, and their parts.
+//! Declarations: the faults that a check finds, with their places; splitting into parts and joining them; the JSON form.
 
 use {
     googletest::prelude::*,
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -58,9 +58,9 @@
 
 #[gtest]
 fn parsed_defaults_equal_core_defaults() {
-    let read = Settings::parse(&Settings::defaults().to_string()).unwrap();
+    let parsed = Settings::parse(&Settings::defaults().to_string()).unwrap();
     expect_that!(
-        read.core,
+        parsed.core,
         eq(&wellplank_core::settings::Settings::default())
     );
 }
@@ -126,17 +126,17 @@
 
 #[gtest]
 fn check_exits_with_2_and_prints_the_faults() {
-    let (code, _, error) = Test::new().set("/body_max", json!("big")).check();
+    let (code, _, stderr) = Test::new().set("/body_max", json!("big")).check();
     expect_that!(code, some(eq(2)));
     expect_that!(
-        error,
+        stderr,
         contains_substring("body_max: \"big\" must be an integer")
     );
 }
 
 #[gtest]
 fn check_of_valid_settings_prints_ok() {
-    let (code, output, _) = Test::new().check();
+    let (code, stdout, _) = Test::new().check();
     expect_that!(code, some(eq(0)));
-    expect_that!(output, eq("ok\n"));
+    expect_that!(stdout, eq("ok\n"));
 }
